--- a/crates/fleet/src/era_hold.rs
+++ b/crates/fleet/src/era_hold.rs
@@ -1,44 +1,47 @@
-//! The time after the store came back from a copy in which it is not believed against what
-//! was known before.
+//! The hold period after a restore of the store from a backup. Until it ends, restored entries do
+//! not override what was known before.
 
 use crate::Millis;
 use crate::position::Position;
 
-/// Holds after which a daemon that heard nothing of the store since takes its last word: it
-/// has been cut off for some 12 s then, or is an agent, which follows configurations alone.
-const LONGEST_HOLDS: u64 = 4;
-/// How far a daemon has come to terms with the newest era of the store.
+/// Number of further hold periods after which a daemon without confirmation from the store accepts
+/// the last state it received. By then it has been disconnected for about 12 s, or it is an agent,
+/// which follows only configurations.
+const MAX_HOLD_PERIODS: u64 = 4;
+/// State of the hold period for the newest era of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EraHold {
-    /// The newest era heard of, from whomever.
+    /// The newest era reported by any source.
     pub(crate) newest: u64,
-    /// Up to here its entries may be those of the copy that it began with; all of them
-    /// while this daemon knows no position of it.
-    pub(crate) began_with: Option<u64>,
-    /// The earliest time at which its word is taken against what was known before; none
-    /// once all is settled.
+    /// The revision up to which the era's entries may come from the backup that it started from;
+    /// none while this daemon knows no position of the era, in which case all may.
+    pub(crate) backup_revision: Option<u64>,
+    /// The earliest time at which the era's entries override what was known before; none if no hold
+    /// period is active.
     pub(crate) until: Option<Millis>,
 }
 
 impl EraHold {
-    /// Whether a new era's word is held back.
-    pub(crate) fn is_on(&self) -> bool {
+    /// Whether a hold period is active.
+    pub(crate) fn is_active(&self) -> bool {
         self.until.is_some()
     }
 
-    /// The position up to which the era's word is held back; none once it is not.
+    /// Returns the position up to which the era's entries are held back; none if no hold period is
+    /// active.
     pub(crate) fn held_through(&self) -> Option<Position> {
-        let revision = self.began_with.unwrap_or(u64::MAX);
+        let revision = self.backup_revision.unwrap_or(u64::MAX);
         self.until.map(|_| Position::new(self.newest, revision))
     }
 
-    /// Whether the hold, of at least `hold_ms`, is over. It ends with a word of the store from
-    /// after it: what writers did meanwhile is known then. A daemon that hears nothing goes on
-    /// with what it knew, but not for ever. `confirmed_at` is when the store last confirmed
-    /// what is known of its newest era, on this process's clock.
+    /// Whether the hold period, which lasts at least `hold_ms`, is over. It ends when the store has
+    /// confirmed the daemon's state after that time, since all writes made in the meantime are
+    /// known then. A daemon without such a confirmation keeps its earlier state, for
+    /// [`MAX_HOLD_PERIODS`] further periods at most. `confirmed_at` is the time on this process's
+    /// clock at which the store last confirmed the state of its newest era.
     pub(crate) fn is_over(&self, hold_ms: Millis, confirmed_at: Option<i64>, now: Millis) -> bool {
         let Some(until) = self.until else { return false };
         let is_confirmed = confirmed_at.is_some_and(|at| i128::from(at) >= i128::from(until));
-        is_confirmed || now >= until + LONGEST_HOLDS * hold_ms
+        is_confirmed || now >= until + MAX_HOLD_PERIODS * hold_ms
     }
 }
--- a/crates/fleet/src/evacuation.rs
+++ b/crates/fleet/src/evacuation.rs
@@ -1,4 +1,5 @@
-//! Zones whose targets are to get no new flows, as the operator asked in the store.
+//! Evacuated zones: zones whose targets must not get new flows, as set by the operator in the
+//! store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,39 +7,39 @@
 
 use crate::position::Position;
 
-/// Most zones that are taken in at once; far more than a deployment has. It bounds what a
-/// wrong entry in the store costs in memory and in each message between daemons.
-const MOST_ZONES: usize = 64;
+/// Maximum number of evacuated zones, far above what a deployment has. It bounds the memory and the
+/// size of each message between daemons if the store holds wrong entries.
+const MAX_EVACUATED_ZONES: usize = 64;
 
 /// The evacuated zones as of one position of the store.
 ///
-/// The set is always whole, so that any copy replaces any older one: a daemon that missed
-/// changes, or lost all memory, needs a single message from any peer to be up to date.
+/// The set is always complete, so any newer set replaces an older one: a daemon that missed changes
+/// or lost all its state is up to date after a single message from any peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EvacuatedZones {
-    /// All changes up to this position of the store are taken in.
+    /// The position up to which all changes are included.
     pub as_of: Position,
-    /// Names of the zones, in order.
+    /// Names of the zones, sorted.
     zones: BTreeSet<String>,
 }
 
-/// The beginning or end of one zone's evacuation.
+/// The start or end of the evacuation of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ZoneChange {
     /// The zone's name.
     pub zone: String,
     /// The position of the change.
     pub position: Position,
-    /// Whether the evacuation began; else it ended.
+    /// Whether the evacuation started; otherwise it ended.
     pub begins: bool,
 }
 
-/// What a source says about evacuated zones.
+/// An update about evacuated zones from the store or a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ZoneNews {
-    /// The changes in the span of the update that this comes with.
+    /// The changes in the range that the enclosing update covers.
     Changes(Vec<ZoneChange>),
-    /// All of them.
+    /// The complete set.
     Whole(EvacuatedZones),
 }
 
@@ -49,9 +50,9 @@
 }
 
 impl EvacuatedZones {
-    /// These zones, as of this position.
+    /// Creates a set of zones as of a position. Zones beyond the maximum number are ignored.
     pub fn new(as_of: Position, zones: impl IntoIterator<Item = String>) -> Self {
-        Self { as_of, zones: zones.into_iter().take(MOST_ZONES).collect() }
+        Self { as_of, zones: zones.into_iter().take(MAX_EVACUATED_ZONES).collect() }
     }
 
     /// Whether a zone is evacuated.
@@ -59,12 +60,12 @@
         self.zones.contains(zone)
     }
 
-    /// The names of the zones, in order.
+    /// Iterates over the names of the zones, in sorted order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.zones.iter().map(String::as_str)
     }
 
-    /// Number of zones.
+    /// Returns the number of evacuated zones.
     pub fn len(&self) -> usize {
         self.zones.len()
     }
@@ -74,32 +75,33 @@
         self.zones.is_empty()
     }
 
-    /// Whether a daemon that knows `known` would learn something from this.
+    /// Whether this set is newer than `known` and differs from it.
     pub fn is_news_for(&self, known: &Self) -> bool {
         self.as_of > known.as_of && self.zones != known.zones
     }
 
-    /// The set after a source's word for the span from `after` to `through`; none if it
-    /// is older than this one or leaves a gap.
+    /// Returns the set after an update that covers the changes from `after` to `through`; none if
+    /// the update is older than this set or would leave a gap.
     pub(crate) fn updated(
         &self,
-        news: ZoneNews,
+        update: ZoneNews,
         after: Position,
         through: Position,
     ) -> Option<Self> {
-        match news {
+        match update {
             ZoneNews::Whole(zones) => (zones.as_of > self.as_of).then_some(zones),
             ZoneNews::Changes(changes) => {
                 let is_gapless = after <= self.as_of && through > self.as_of;
-                is_gapless.then(|| self.changed(changes, through))
+                is_gapless.then(|| self.with_changes(changes, through))
             }
         }
     }
 
-    /// The same but for some zones, each with whether it is evacuated.
-    pub(crate) fn with(&self, exceptions: &BTreeMap<String, bool>) -> Self {
+    /// Returns the set with the state of some zones overridden. The map holds whether each of them
+    /// is evacuated.
+    pub(crate) fn with_overrides(&self, overrides: &BTreeMap<String, bool>) -> Self {
         let mut zones = self.clone();
-        for (zone, is_evacuated) in exceptions {
+        for (zone, is_evacuated) in overrides {
             if *is_evacuated {
                 zones.zones.insert(zone.clone());
             } else {
@@ -109,19 +111,19 @@
         zones
     }
 
-    /// The zones whose state is another one in `next`, each with its state here.
+    /// Returns the zones whose state differs in `next`, each with whether it is evacuated here.
     pub(crate) fn differences(&self, next: &Self) -> BTreeMap<String, bool> {
         let differing = self.zones.symmetric_difference(&next.zones);
         differing.map(|zone| (zone.clone(), self.contains(zone))).collect()
     }
 
-    fn changed(&self, changes: Vec<ZoneChange>, through: Position) -> Self {
+    fn with_changes(&self, changes: Vec<ZoneChange>, through: Position) -> Self {
         let mut next = Self { as_of: through, zones: self.zones.clone() };
-        // What is older than the set is part of it already.
+        // Changes up to `as_of` are already part of the set.
         for change in changes.into_iter().filter(|change| change.position > self.as_of) {
             if !change.begins {
                 next.zones.remove(&change.zone);
-            } else if next.zones.len() < MOST_ZONES {
+            } else if next.zones.len() < MAX_EVACUATED_ZONES {
                 next.zones.insert(change.zone);
             }
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,12 @@
-//! What a daemon knows of the configuration, of the targets and of the other
-//! daemons, where the only shared memory is a store that it can read.
+//! State that daemons share through a store, which they only read, and through messages between
+//! them: the configuration, the targets and the other daemons.
 //!
-//! Pure logic: times and messages are passed in. The store numbers every change
-//! with one revision, so that a [`Replica`] needs no agreement: the later entry
-//! counts, whoever passed it on. Where the store comes back from a copy and its
-//! revisions with it, what the writers count themselves decides ([`TargetEntry`],
-//! [`VersionedConfiguration`]). The [`PeerTable`] spreads who exists, and [`reader`]
-//! settles which few daemons read the store for all.
+//! This crate does no I/O: times and messages are passed in. The store numbers every change with
+//! one revision, so a [`Replica`] needs no consensus: the entry with the later position wins, no
+//! matter which daemon passed it on. When the store is restored from a backup, its revisions go
+//! back too; then the versions and sequence numbers that the writers assign decide
+//! ([`TargetEntry`], [`VersionedConfiguration`]). The [`PeerTable`] tracks which daemons exist, and
+//! [`reader`] decides which few daemons read the store on behalf of all.
 
 mod era_hold;
 mod evacuation;
@@ -17,7 +17,7 @@
 pub mod reader;
 mod removal_history;
 mod replica;
-mod succession;
+mod target_entry;
 mod timing;
 mod update;
 
@@ -33,9 +33,9 @@
 pub use peers::{PEER_LIFETIME_MS, PeerTable, ServingPeer};
 pub use position::Position;
 pub use replica::{KeptAgainstCopy, Replica};
-pub use succession::{TargetEntry, VersionedTarget};
+pub use target_entry::{TargetEntry, VersionedTarget};
 pub use timing::{Bounds, Timing};
 pub use update::{Change, Update, VersionedConfiguration};
 
-/// Milliseconds on the process's steady clock since some fixed moment.
+/// Milliseconds on the process's monotonic clock since an arbitrary fixed moment.
 pub type Millis = u64;
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,148 +1,147 @@
-//! Messages between daemons about what they know.
+//! Messages between daemons and their binary encoding.
 
 use musli::{Decode, Encode};
 
 use crate::evacuation::EvacuatedZones;
 use crate::model::ZoneId;
 use crate::position::Position;
-use crate::succession::VersionedTarget;
+use crate::target_entry::VersionedTarget;
 
-/// First byte of every datagram between daemons.
+/// Version of the protocol between daemons, the first byte of every datagram.
 const PROTOCOL_VERSION: u8 = 7;
 
-/// Why a datagram from a peer was refused.
+/// Why a datagram from a peer was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The datagram is of another protocol version or not ours at all.
+    /// The datagram has another protocol version or is not of this protocol.
     #[error("unknown protocol version")]
     UnknownVersion,
     /// The datagram's body cannot be decoded.
-    #[error("malformed message")]
+    #[error("malformed message body")]
     Malformed,
     /// The message cannot be encoded.
     #[error("message cannot be encoded")]
     Encoding,
 }
 
-/// What a daemon does.
+/// The role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerRole {
     /// Takes packets from clients and chooses targets.
     Balancer,
-    /// Stands beside one target.
+    /// Runs on the machine of one target and represents it.
     Agent,
 }
 
-/// How busy a target is, as the agent beside it tells.
+/// The load of a target, as its agent reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TargetLoad {
-    /// Requests that wait for an answer of the target.
+    /// Requests that the target has not answered yet.
     pub waiting: u32,
-    /// Milliseconds in which the target is expected to answer one more request, waiting
-    /// time included; none if nothing was measured lately.
+    /// Expected milliseconds until the target answers one more request, queueing time included;
+    /// none without a recent measurement.
     pub expected_ms: Option<u32>,
-    /// Milliseconds for which the target works on one request; none if nothing was measured
-    /// lately.
+    /// Milliseconds that the target takes to process one request; none without a recent
+    /// measurement.
     pub service_ms: Option<u32>,
 }
 
 impl From<u32> for TargetLoad {
-    /// The load of a target of which only the number of waiting requests is known.
+    /// Creates the load of a target for which only the number of waiting requests is known.
     fn from(waiting: u32) -> Self {
         Self { waiting, ..Self::default() }
     }
 }
 
-/// Opening packets of one class that wait at a balancer until any target has room.
+/// Opening packets of one priority class that are queued at a balancer until a target has capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WaitingOpenings {
-    /// How many wait.
+    /// Number of queued packets.
     pub count: u16,
-    /// For how many milliseconds the first of them has waited.
+    /// Milliseconds for which the oldest of them has been queued.
     pub oldest_ms: u16,
 }
 
-/// What waits for room at a balancer, for one service.
+/// Opening packets of one service that are queued at a balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct OpeningDemand {
-    /// Openings of urgent routes.
+    /// Urgent opening packets, those of urgent routes.
     pub urgent: WaitingOpenings,
-    /// All others.
+    /// Non-urgent opening packets.
     pub others: WaitingOpenings,
 }
 
 impl OpeningDemand {
-    /// Whether nothing waits.
+    /// Whether no opening packet is queued.
     pub fn is_empty(&self) -> bool {
         self.urgent.count == 0 && self.others.count == 0
     }
 }
 
-/// What an agent says about the target beside it.
+/// Status of a target as reported by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TargetClaim {
     /// The service that the target belongs to.
     pub service: String,
-    /// Whether the target was seen at work lately.
+    /// Whether the target has shown activity recently.
     pub alive: bool,
-    /// How busy the target is.
+    /// The current load of the target.
     pub load: TargetLoad,
-    /// Whether the agent is about to stop.
+    /// Whether the agent is shutting down.
     pub leaving: bool,
     /// Whether the agent knows the target's record in the store.
     pub recorded: bool,
-    /// The version of the configuration by which the target holds no flow of a route that
-    /// does not name its service; none if it may hold one.
+    /// The configuration version under which the target holds no flow of a route that does not list
+    /// its service; none if it may hold one.
     pub without_former_flows: Option<u64>,
 }
 
-/// A daemon's summary of what it knows, sent often.
+/// A daemon's periodic summary of its own state and of how much it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Digest {
     /// IPv4 address of the sender, as a number.
     pub sender: u32,
-    /// What the sender does.
+    /// The role of the sender.
     pub role: PeerRole,
-    /// Where the sender runs.
+    /// The zone that the sender runs in.
     pub zone: ZoneId,
-    /// Processor time that the sender may use, in thousandths of a processor; none
-    /// if it does not know.
+    /// Processor time available to the sender, in thousandths of a processor; none if unknown.
     pub capacity: Option<u32>,
-    /// Whether the sender is about to stop.
+    /// Whether the sender is shutting down.
     pub stopping: bool,
-    /// Whether the sender, a balancer, cannot keep up with its packets.
+    /// Whether the sender is a balancer that cannot keep up with its packets.
     pub overloaded: bool,
-    /// The position that the sender knows all changes of the store up to.
+    /// The store position up to which the sender knows all changes.
     pub position: Position,
-    /// The version of the configuration that the sender knows; none before the first.
+    /// The version of the configuration that the sender knows; none if it has none yet.
     pub configuration: Option<u64>,
-    /// The evacuated zones as the store states them. They come with every digest, so
-    /// that they reach all daemons without a fetch; nearly always there are none.
+    /// The evacuated zones as recorded in the store. Every digest carries them, so that they reach
+    /// all daemons without a fetch; the set is almost always empty.
     pub evacuated: EvacuatedZones,
-    /// Milliseconds since the store confirmed that position; none if never.
+    /// Milliseconds since the store confirmed `position`; none if it never did.
     pub age_ms: Option<u64>,
-    /// Whether the sender reads the store for its peers.
+    /// Whether the sender reads the store on behalf of its peers.
     pub reading: bool,
-    /// Whether the sender asks for a digest in return.
+    /// Whether the sender requests a digest in return.
     pub reply: bool,
-    /// Addresses of some balancers that the sender heard from lately.
+    /// Addresses of some balancers from which the sender recently received a digest.
     pub balancers: Vec<u32>,
-    /// About the target beside the sender, if it is an agent.
+    /// Status of the sender's target, if the sender is an agent.
     pub target: Option<TargetClaim>,
 }
 
-/// Asks a peer, over a stream, for all changes after a position.
+/// A request to a peer, over a stream, for all changes after a position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FetchRequest {
-    /// The position that the asker knows all changes up to.
+    /// The position up to which the requester knows all changes.
     pub after: Position,
-    /// The version of the configuration that the asker knows; none before the first.
+    /// The version of the configuration that the requester knows; none if it has none yet.
     pub configuration: Option<u64>,
-    /// What the asker wants.
+    /// The part of the state that the requester needs.
     pub scope: FetchScope,
 }
 
-/// How much a daemon wants to know.
+/// The part of the state that a fetch covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum FetchScope {
     /// Everything.
@@ -154,124 +153,123 @@
 /// A datagram between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage<'a> {
-    /// What the sender knows.
+    /// The sender's digest.
     Digest(Digest),
-    /// The record of the target beside the agent that gets this.
+    /// The record of the target of the agent that receives this message.
     Record(VersionedTarget),
-    /// Asks an agent whether it is reached; it answers with [`PeerMessage::ProbeAnswer`].
+    /// Asks an agent for a [`PeerMessage::ProbeAnswer`], to find out whether it is reachable.
     Probe,
     /// Answers a probe.
     ProbeAnswer,
-    /// An agent that stops has found that its target has ended: it holds no flow any more.
+    /// Sent by an agent that is shutting down: its target has ended and holds no flow any more.
     TargetEnded,
     /// A client's packet on its way to a target.
     Forward {
-        /// Hash of the service's name; the agent checks it.
+        /// Hash of the service's name, verified by the agent.
         service: u64,
-        /// Set if it is not known whether this target holds the flow.
+        /// Set if it is unknown whether this target holds the flow.
         search: Option<SearchPath>,
-        /// Whether an opening packet may wait at the agent until the target has
-        /// room; otherwise it comes back at once from a busy target.
+        /// Whether an opening packet may be queued at the agent until the target has capacity;
+        /// otherwise a busy target's agent returns it at once.
         may_wait: bool,
-        /// Whether an opening packet goes before others of the service.
+        /// Whether an opening packet takes precedence over others of the service.
         urgent: bool,
-        /// Set if the packet uses a [`PeerMessage::Grant`] of the agent: what still waits at
+        /// Set if the packet uses a [`PeerMessage::Grant`] of the agent: the demand that remains at
         /// the balancer.
         granted: Option<OpeningDemand>,
-        /// The packet as the client wrote it.
+        /// The packet as the client sent it.
         #[musli(bytes)]
         packet: &'a [u8],
     },
-    /// A client's packet from a balancer that has no time to decide about it.
+    /// A client's packet from a balancer that has no processor time to route it.
     HandOff {
-        /// The packet as the client wrote it.
+        /// The packet as the client sent it.
         #[musli(bytes)]
         packet: &'a [u8],
     },
-    /// A packet that the target did not take, on its way back.
+    /// A packet that the target did not accept, on its way back to the balancer.
     Returned {
-        /// Why the target did not take it.
+        /// Why the target did not accept it.
         reason: ReturnReason,
-        /// Whether the packet came with a [`PeerMessage::Grant`] of the agent. It tells the
-        /// balancer which of a flow's deliveries came back, as messages may come late or twice.
+        /// Whether the packet used a [`PeerMessage::Grant`] of the agent. By this the balancer
+        /// recognizes which delivery of a flow was returned, as messages may arrive late or twice.
         granted: bool,
-        /// How busy the target is.
+        /// The current load of the target.
         load: TargetLoad,
-        /// The packet as the client wrote it.
+        /// The packet as the client sent it.
         #[musli(bytes)]
         packet: &'a [u8],
     },
-    /// An opening packet waits at the agent until the target has room.
+    /// An opening packet is queued at the agent until the target has capacity.
     Waits {
-        /// How busy the target is.
+        /// The current load of the target.
         load: TargetLoad,
     },
-    /// A balancer asks an agent for room: opening packets wait at it until any target of the
-    /// service has room. Replaces what the balancer said before.
+    /// A balancer requests capacity from an agent: it has queued opening packets that any target of
+    /// the service may take. Replaces the balancer's previous demand.
     Demand {
-        /// Hash of the service's name; the agent checks it.
+        /// Hash of the service's name, verified by the agent.
         service: u64,
-        /// What waits.
+        /// The queued opening packets.
         demand: OpeningDemand,
     },
-    /// An agent answers a [`PeerMessage::Demand`]: its target has room for one opening packet,
-    /// which is kept for a moment.
+    /// An agent answers a [`PeerMessage::Demand`]: its target has capacity for one opening packet
+    /// and reserves it for a short time.
     Grant {
         /// Hash of the service's name.
         service: u64,
-        /// Whether the room is for openings of urgent routes alone.
+        /// Whether only opening packets of urgent routes may use the grant.
         urgent_only: bool,
-        /// How busy the target is.
+        /// The current load of the target.
         load: TargetLoad,
     },
-    /// A balancer has no use for an agent's grant, as nothing waits any more.
+    /// A balancer declines an agent's grant because it has no queued packets left.
     Declined,
-    /// The target answered an opening packet, or holds a flow that the balancer
-    /// searched for.
+    /// The target answered an opening packet, or holds a flow that the balancer searched for.
     Holds {
         /// The client's address and port.
         client: (u32, u16),
         /// The address and port that the client connected to.
         service: (u32, u16),
-        /// Whether the target sent more than an answer to an opening packet.
+        /// Whether the target sent anything beyond the answer to an opening packet.
         confirmed: bool,
-        /// How busy the target is.
+        /// The current load of the target.
         load: TargetLoad,
     },
 }
 
-/// The way of a packet that looks for the target which holds its flow.
+/// The path of a packet that searches for the target that holds its flow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct SearchPath {
-    /// IPv4 address of the balancer that searches and is told the outcome.
+    /// IPv4 address of the balancer that searches and receives the result.
     pub balancer: u32,
-    /// IPv4 addresses of the agents that get the packet in turn if this one's
-    /// target sends it back. The last one returns it to the balancer.
+    /// IPv4 addresses of the agents that receive the packet in turn if this agent's target does not
+    /// hold the flow. The last one returns the packet to the balancer.
     pub next: Vec<u32>,
 }
 
-/// Why a packet came back from a target's machine.
+/// Why a target's machine returned a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ReturnReason {
-    /// The target itself sent it back.
+    /// The target itself rejected it.
     Bounced,
-    /// The agent stands beside a target of another service.
+    /// The target belongs to another service.
     OtherService,
-    /// The agent is about to stop and takes no new flows.
+    /// The agent is shutting down and accepts no new flows.
     Leaving,
-    /// The zone of the target is evacuated; it takes no new flows.
+    /// The target's zone is evacuated and accepts no new flows.
     Evacuated,
-    /// The target fails requests; others are better off elsewhere for now.
+    /// The target is failing requests; other targets are preferred for now.
     Failing,
-    /// The target has no room now, or had none for as long as the opening packet
-    /// could wait.
+    /// The target has no capacity, or had none for as long as the opening packet could wait.
     Busy,
 }
 
-/// Encodes a message into `buffer`, behind the protocol version.
+/// Encodes a message into `buffer`, after the protocol version. Previous contents of `buffer` are
+/// discarded.
 ///
 /// # Errors
-/// [`MessageError::Encoding`].
+/// [`MessageError::Encoding`] if the message cannot be encoded.
 pub fn encode<M>(message: &M, buffer: &mut Vec<u8>) -> Result<(), MessageError>
 where
     M: ?Sized + Encode<musli::mode::Binary>,
@@ -281,10 +279,11 @@
     musli::storage::encode(&mut *buffer, message).map_err(|_| MessageError::Encoding)
 }
 
-/// Decodes a message.
+/// Decodes an encoded message.
 ///
 /// # Errors
-/// [`MessageError::UnknownVersion`] or [`MessageError::Malformed`].
+/// [`MessageError::UnknownVersion`] if the first byte is not this protocol version, or
+/// [`MessageError::Malformed`] if the rest cannot be decoded.
 pub fn decode<'a, M>(datagram: &'a [u8]) -> Result<M, MessageError>
 where
     M: Decode<'a, musli::mode::Binary, musli::alloc::Global>,
--- a/crates/fleet/src/model.rs
+++ b/crates/fleet/src/model.rs
@@ -1,4 +1,4 @@
-//! Configuration and targets in the product's own terms.
+//! The configuration and the targets, independent of how the store encodes them.
 
 use std::hash::Hasher;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -6,36 +6,36 @@
 use musli::{Decode, Encode};
 use siphasher::sip::SipHasher13;
 
-/// Identifies a service by a hash of its name; all daemons compute the same.
+/// Identifies a service by a hash of its name, which is the same in all daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[musli(packed)]
 pub struct ServiceId(pub u64);
 
 impl ServiceId {
-    /// The identifier of the service with this name.
+    /// Returns the identifier of the service with this name.
     pub fn of(name: &str) -> Self {
         Self(hash_name(name))
     }
 }
 
-/// Identifies a zone by a hash of its name; all daemons compute the same.
+/// Identifies a zone by a hash of its name, which is the same in all daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[musli(packed)]
 pub struct ZoneId(pub u64);
 
 impl ZoneId {
-    /// The identifier of the zone with this name.
+    /// Returns the identifier of the zone with this name.
     pub fn of(name: &str) -> Self {
         Self(hash_name(name))
     }
 }
 
-/// Identifies a region by a hash of its name; all daemons compute the same.
+/// Identifies a region by a hash of its name, which is the same in all daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RegionId(u64);
 
 impl RegionId {
-    /// The identifier of the region with this name.
+    /// Returns the identifier of the region with this name.
     pub fn of(name: &str) -> Self {
         Self(hash_name(name))
     }
@@ -47,7 +47,7 @@
     hasher.finish()
 }
 
-/// One service's part of a route's new flows.
+/// A service that receives part of a route's new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RoutePart {
     /// The service's name.
@@ -56,68 +56,68 @@
     pub weight: u32,
 }
 
-/// Where new flows to one address go.
+/// The destination of new flows to one address and port.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Route {
     /// IPv4 address that clients connect to, as a number.
     pub address: u32,
     /// Port that clients connect to.
     pub port: u16,
-    /// The services that share the route's new flows.
+    /// The services that the route's new flows are divided among.
     pub parts: Vec<RoutePart>,
-    /// How urgent the route's requests are; 0 is the most urgent.
+    /// Priority of the route's requests; 0 is the highest.
     pub priority: u32,
-    /// Milliseconds within which callers expect an answer; none if not stated.
+    /// Milliseconds within which clients expect an answer (latency objective); none if not
+    /// configured.
     pub objective_ms: Option<u64>,
-    /// Milliseconds after which callers give up; none if not stated.
+    /// Milliseconds after which clients give up; none if not configured.
     pub timeout_ms: Option<u64>,
-    /// Names of the regions that the route's requests must not leave; empty if they may go
-    /// anywhere.
+    /// Names of the regions that the route's requests must not leave; empty if unrestricted.
     pub permitted_regions: Vec<String>,
 }
 
-/// How a service's targets start.
+/// The limit on new flows to a service's targets while they are cold.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ColdStartPolicy {
     /// The service's name.
     pub service: String,
-    /// Milliseconds for which a target is slow after its start, or after its zone was taken
-    /// back.
+    /// Milliseconds for which a target counts as cold after its start, or after the evacuation of
+    /// its zone ended.
     pub cold_ms: u64,
-    /// New flows a second that such a target bears; 0 if there is no limit.
+    /// New flows per second that a cold target can take; 0 if unlimited.
     pub flows_per_second: u32,
 }
 
 impl Route {
-    /// The address and port that clients connect to.
+    /// Returns the address and port that clients connect to.
     pub fn endpoint(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from_bits(self.address), self.port)
     }
 }
 
-/// A whole configuration, as the operator wrote it.
+/// A complete configuration, as written by the operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Configuration {
-    /// The operator's version; grows in uneven steps.
+    /// The version assigned by the operator. It increases, but not always by one.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
-    /// Milliseconds after which a resting flow may be forgotten.
+    /// Milliseconds without packets after which a flow may be dropped.
     pub idle_timeout_ms: u64,
-    /// How the targets of the services start; services that are not named have no limit.
+    /// Cold-start policies by service; services that are not listed have no limit.
     pub cold_starts: Vec<ColdStartPolicy>,
 }
 
-/// Whether a target takes new flows.
+/// Whether a target accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum TargetState {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Keeps its flows, must get no new one.
+    /// Keeps its existing flows and must not get new ones.
     Draining,
 }
 
-/// One incarnation of a target, as recorded in the store.
+/// The record of one incarnation of a target in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TargetRecord {
     /// The service that the target belongs to.
@@ -126,22 +126,22 @@
     pub address: u32,
     /// Zone of the target's machine.
     pub zone: String,
-    /// Requests that the target works on at once.
+    /// Requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether the target takes new flows.
+    /// Whether the target accepts new flows.
     pub state: TargetState,
-    /// Milliseconds for which the target stays slow after its start.
+    /// Milliseconds for which the target is cold after its start.
     pub warm_up_ms: u32,
-    /// When this life of the target began, on its machine's clock; none where targets do
-    /// not tell, and then an identifier stands for one life. It names the life and is
-    /// compared with that of the same target alone.
+    /// Start time of this incarnation, on its machine's clock. It identifies the incarnation and is
+    /// only compared with start times of the same target. None if targets do not report it; then an
+    /// identifier is used by one incarnation only.
     pub incarnation: Option<u64>,
-    /// The target's own count of its writes in this life.
+    /// Number of writes of the record in this incarnation, counted by the target.
     pub sequence: u64,
 }
 
 impl TargetRecord {
-    /// The address of the target's machine, where its agent runs too.
+    /// Returns the address of the target's machine, on which its agent also runs.
     pub fn machine(&self) -> Ipv4Addr {
         Ipv4Addr::from_bits(self.address)
     }
--- a/crates/fleet/src/removal_history.rs
+++ b/crates/fleet/src/removal_history.rs
@@ -1,53 +1,54 @@
-//! Of which spans of the store's history this daemon knows all removals.
+//! Tracks for which ranges of the store's history this daemon knows all removals.
 
 use std::collections::VecDeque;
 
 use crate::position::Position;
 
-/// Most spans remembered of which a listing told the outcome alone, 32 bytes each; peers
-/// that stand before a span that was forgotten are told all.
-const MOST_GAPS: usize = 4;
-/// The spans of which removals are not all known: those that were forgotten, and those that a
-/// listing passed over, which tells nothing of targets that came and went.
+/// Maximum number of gaps remembered, 32 bytes each. Peers at a position before a forgotten gap get
+/// a complete update.
+const MAX_GAPS: usize = 4;
+/// The ranges of positions for which removals may be missing: those whose removals were forgotten,
+/// and those bridged by a listing, which does not show targets that were added and removed in
+/// between.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RemovalHistory {
-    /// Removals up to this position are not all known.
+    /// Removals up to this position may be missing.
     forgotten_through: Position,
-    /// Spans, each from one position to before another, of which a listing told the outcome
-    /// alone: what went in them is not fully known here.
+    /// Ranges, each from a position (inclusive) to another (exclusive), that a listing bridged: the
+    /// changes within them are not fully known.
     gaps: VecDeque<(Position, Position)>,
 }
 
 impl RemovalHistory {
-    /// Notes that removals up to a position are not remembered any more.
+    /// Records that removals up to a position are no longer remembered.
     pub(crate) fn forget_through(&mut self, position: Position) {
         self.forgotten_through = self.forgotten_through.max(position);
     }
 
-    /// Notes that a listing led from one position to another. Targets that came and went
-    /// between them are not known, nor what was left out there as a word of the past.
-    pub(crate) fn skip(&mut self, from: Position, through: Position) {
+    /// Records that a listing bridged the range between two positions. Targets that were added and
+    /// removed in between are unknown, and so are entries that the listing omitted as outdated.
+    pub(crate) fn add_gap(&mut self, from: Position, through: Position) {
         if from.is_start() {
             self.forget_through(through);
         } else if through > from {
             self.gaps.push_back((from, through));
         }
-        if self.gaps.len() > MOST_GAPS
+        if self.gaps.len() > MAX_GAPS
             && let Some((_, end)) = self.gaps.pop_front()
         {
             self.forget_through(end);
         }
     }
 
-    /// Whether changes after a position are not enough for a peer that stands there: it may
-    /// know a target whose removal is not known here. After a lost history that is each
-    /// daemon once.
+    /// Whether the changes after a position are not sufficient for a peer at that position, because
+    /// it may know a target whose removal is unknown here. After the store lost its history, this
+    /// happens once for each daemon.
     pub(crate) fn is_incomplete_after(&self, after: Position) -> bool {
-        let holds = |gap: &(Position, Position)| (gap.0..gap.1).contains(&after);
-        after < self.forgotten_through || self.gaps.iter().any(holds)
+        let contains_after = |gap: &(Position, Position)| (gap.0..gap.1).contains(&after);
+        after < self.forgotten_through || self.gaps.iter().any(contains_after)
     }
 
-    /// Whether the span from a position to now has a gap.
+    /// Whether the range from a position to the present contains a gap.
     pub(crate) fn has_gap_after(&self, after: Position) -> bool {
         self.gaps.iter().any(|gap| gap.1 > after)
     }
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica of the store's contents, fed by the store itself and by peers.
+//! A replica of the store's contents, updated from the store itself and from peers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,49 +8,51 @@
 use crate::message::{FetchRequest, FetchScope};
 use crate::position::Position;
 use crate::removal_history::RemovalHistory;
-use crate::succession::{TargetEntry, VersionedTarget};
+use crate::target_entry::{TargetEntry, VersionedTarget};
 use crate::timing::Timing;
 use crate::update::{Change, Update, VersionedConfiguration};
 
-/// How long a removed target is remembered, so that an older report does not
-/// bring it back and its open flows are still found.
+/// How long a removed target is remembered, so that an older report does not restore it and its
+/// open flows can still be located.
 const REMOVED_TARGET_LIFETIME_MS: Millis = 90_000;
 
-/// What is kept for a time against a store that came back from a copy.
+/// Number of entries for which the state known before a restore of the store from a backup is kept
+/// during the hold period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeptAgainstCopy {
-    /// Targets that the copy lacks.
+    /// Targets that are missing from the backup.
     pub unrenewed: usize,
-    /// Targets of which the copy states something else.
+    /// Targets whose records in the backup conflict with the known state.
     pub disputed: usize,
-    /// Zones whose state is another one in the copy.
+    /// Zones whose evacuation state in the backup differs.
     pub zones: usize,
 }
 
-/// The state of the store as far as this daemon knows it. Within an era no entry goes back
-/// to an older position; across eras what the writers count themselves keeps the order.
+/// The state of the store as far as this daemon knows it. Within an era no entry reverts to an
+/// older position; across eras the versions and sequence numbers assigned by the writers keep the
+/// order.
 #[derive(Clone, Debug)]
 pub struct Replica {
     configuration: Option<VersionedConfiguration>,
     targets: BTreeMap<String, TargetEntry>,
-    /// Evacuated zones, as the store states them.
+    /// Evacuated zones as recorded in the store.
     stored_zones: EvacuatedZones,
-    /// Zones whose state of before the store came back from a copy still counts, each with
-    /// whether it is evacuated.
-    kept_zones: BTreeMap<String, bool>,
-    /// The evacuated zones that count.
+    /// Zones whose state from before a restore of the store is still in effect, each with whether
+    /// it is evacuated.
+    zone_overrides: BTreeMap<String, bool>,
+    /// The evacuated zones in effect.
     evacuated: EvacuatedZones,
-    /// When this daemon learned that a zone's evacuation ended, by zone.
+    /// When this daemon learned that a zone's evacuation ended, by name of the zone.
     returned_at: BTreeMap<String, Millis>,
-    /// All changes up to here are known.
+    /// The position up to which all changes are known.
     position: Position,
-    /// When the store last confirmed `position`, to this daemon or to a peer, on this
-    /// process's clock. Negative for a time before the process started: a daemon that
-    /// has just started must not take what peers confirmed long ago for fresh.
+    /// When the store last confirmed `position`, to this daemon or to a peer, on this process's
+    /// clock. It is negative for a time before the process started, so that a daemon that has just
+    /// started does not consider a confirmation fresh that a peer received long ago.
     confirmed_at: Option<i64>,
     removals: RemovalHistory,
-    era: EraHold,
-    /// How long a new era's word is not taken against what was known before, at least.
+    era_hold: EraHold,
+    /// Minimum time for which a new era does not override what was known before.
     hold_ms: Millis,
 }
 
@@ -61,70 +63,71 @@
 }
 
 impl Replica {
-    /// An empty replica.
+    /// Creates an empty replica with the default hold period.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An empty replica that holds the word of a new era back for this long where it
-    /// contradicts what was known before.
+    /// Creates an empty replica. After a restore of the store, restored entries that contradict
+    /// what was known before are held back for at least `hold_ms` milliseconds.
     pub fn with_hold(hold_ms: Millis) -> Self {
         Self {
             configuration: None,
             targets: BTreeMap::new(),
             stored_zones: EvacuatedZones::default(),
-            kept_zones: BTreeMap::new(),
+            zone_overrides: BTreeMap::new(),
             evacuated: EvacuatedZones::default(),
             returned_at: BTreeMap::new(),
             position: Position::default(),
             confirmed_at: None,
             removals: RemovalHistory::default(),
-            era: EraHold::default(),
+            era_hold: EraHold::default(),
             hold_ms,
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in effect.
     pub fn configuration(&self) -> Option<&VersionedConfiguration> {
         self.configuration.as_ref()
     }
 
-    /// The known targets, removed ones included, by identifier.
+    /// Iterates over the known targets, including removed ones, in order of their identifiers.
     pub fn targets(&self) -> impl Iterator<Item = &TargetEntry> {
         self.targets.values()
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the configuration in effect.
     pub fn version(&self) -> Option<u64> {
         self.configuration.as_ref().map(|known| known.configuration.version)
     }
 
-    /// The evacuated zones as the store states them, for peers.
+    /// Returns the evacuated zones as recorded in the store, which is what peers are sent.
     pub fn stored_zones(&self) -> &EvacuatedZones {
         &self.stored_zones
     }
 
-    /// The evacuated zones that count.
+    /// Returns the evacuated zones in effect.
     pub fn evacuated(&self) -> &EvacuatedZones {
         &self.evacuated
     }
 
-    /// When this daemon learned that a zone's evacuation ended.
+    /// Returns when this daemon learned that a zone's evacuation ended.
     pub fn returned_at(&self, zone: &str) -> Option<Millis> {
         self.returned_at.get(zone).copied()
     }
 
-    /// The position up to which all changes are known.
+    /// Returns the position up to which all changes are known.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The newest era heard of.
+    /// Returns the newest era reported by any source.
     pub fn newest_era(&self) -> u64 {
-        self.era.newest
+        self.era_hold.newest
     }
 
-    /// What is kept against the newest era's word, for logs.
+    /// Returns the number of entries that are kept although the newest era contradicts them, for
+    /// logs.
     pub fn kept(&self) -> KeptAgainstCopy {
         let era = self.position.era;
         let is_unrenewed =
@@ -132,20 +135,21 @@
         KeptAgainstCopy {
             unrenewed: self.targets().filter(is_unrenewed).count(),
             disputed: self.targets().filter(|entry| entry.is_disputed()).count(),
-            zones: self.kept_zones.len(),
+            zones: self.zone_overrides.len(),
         }
     }
 
-    /// Milliseconds since the store last confirmed the replica's position.
+    /// Returns the milliseconds since the store last confirmed the replica's position; none if it
+    /// never did.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         let age = self.confirmed_at.map(|confirmed_at| signed(now).saturating_sub(confirmed_at));
         age.map(|age| age.max(0).unsigned_abs())
     }
 
-    /// Takes in what a source says. Returns what changed.
+    /// Applies an update from the store or a peer. Returns the changes that it made.
     pub fn apply(&mut self, update: Update, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
-        self.learn_eras(&update, now);
+        self.learn_update_eras(&update, now);
         self.apply_configuration(update.configuration, &mut changes);
         if let Some(zones) = self.stored_zones.updated(update.zones, update.after, update.through) {
             self.set_zones(zones, now, &mut changes);
@@ -158,10 +162,10 @@
         for target in update.targets.into_iter().chain(absent) {
             self.apply_target(target, now, &mut changes);
         }
-        // A span that begins after what is known here leaves a gap.
+        // An update that begins after the known position leaves a gap.
         let is_gapless = update.complete || update.after <= self.position;
         if update.complete || (update.skips && is_gapless) {
-            self.removals.skip(self.position, update.through);
+            self.removals.add_gap(self.position, update.through);
         }
         if is_gapless && !update.through.is_start() {
             self.advance(update.through);
@@ -172,8 +176,7 @@
         changes
     }
 
-    /// Takes in a peer's word about evacuated zones, unless this daemon knows as much.
-    /// Returns what changed.
+    /// Applies a peer's set of evacuated zones if it is newer. Returns the changes that it made.
     pub fn learn_evacuated(&mut self, zones: &EvacuatedZones, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
         self.learn_era(zones.as_of.era, now);
@@ -186,41 +189,43 @@
         changes
     }
 
-    /// Takes in that the store is in this era. Returns whether it is a newer one than was
-    /// known; then what it states is not taken against what was known before, for as long
-    /// as the writers may take to write again.
+    /// Records that the store is in this era. Returns whether it is newer than the newest known
+    /// era; then a hold period begins during which the era's entries do not override what was known
+    /// before. It is as long as the writers may take to write again.
     pub fn learn_era(&mut self, era: u64, now: Millis) -> bool {
-        let is_newer = era > self.era.newest;
+        let is_newer = era > self.era_hold.newest;
         if is_newer {
-            self.era = EraHold { newest: era, began_with: None, until: Some(now + self.hold_ms) };
+            self.era_hold =
+                EraHold { newest: era, backup_revision: None, until: Some(now + self.hold_ms) };
         }
         is_newer
     }
 
-    /// Once the hold is over, takes the newest era at its word: what it did not renew is
-    /// gone. To be called regularly. Returns what changed.
+    /// Ends the hold period if it is over: the newest era overrides what was kept against it, and
+    /// targets whose records were not renewed in it are considered removed. Must be called
+    /// regularly. Returns the changes that it made.
     pub fn settle(&mut self, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
-        let is_current = self.position.era == self.era.newest;
+        let is_current = self.position.era == self.era_hold.newest;
         let confirmed_at = self.confirmed_at.filter(|_| is_current);
-        if !self.era.is_over(self.hold_ms, confirmed_at, now) {
+        if !self.era_hold.is_over(self.hold_ms, confirmed_at, now) {
             return changes;
         }
         for entry in self.targets.values_mut() {
-            let has_changed = entry.settle(self.position.era, now);
+            let has_changed = entry.resolve_dispute(self.position.era, now);
             if has_changed {
                 changes.push(Change::of_target(&entry.target, false));
             }
         }
-        self.kept_zones.clear();
-        self.count_zones(now, &mut changes);
-        if self.position.era == self.era.newest {
-            self.era.until = None;
+        self.zone_overrides.clear();
+        self.update_effective_zones(now, &mut changes);
+        if self.position.era == self.era_hold.newest {
+            self.era_hold.until = None;
         }
         changes
     }
 
-    /// Records that somebody saw the store confirm `position` `age_ms` ago.
+    /// Records that the store confirmed `position` to some daemon `age_ms` milliseconds ago.
     pub fn confirm(&mut self, position: Position, age_ms: u64, now: Millis) {
         if position < self.position {
             return;
@@ -230,10 +235,10 @@
         self.confirmed_at = Some(latest);
     }
 
-    /// What a peer asks for.
+    /// Returns the update that answers a peer's request.
     pub fn update_for(&self, request: &FetchRequest, now: Millis) -> Update {
         let after = request.after;
-        // Positions of another era say nothing about what the asker knows of this one.
+        // Positions of another era do not show what the requester knows of this one.
         let complete = after.is_start()
             || after.era != self.position.era
             || self.removals.is_incomplete_after(after);
@@ -241,7 +246,7 @@
             target.record.as_ref().is_some_and(|record| record.address == machine)
         };
         let is_wanted = |entry: &TargetEntry, target: &VersionedTarget| match request.scope {
-            // One that knows nothing need not hear of what is gone.
+            // A requester without any state does not need removed targets.
             FetchScope::All if after.is_start() => target.present || entry.is_disputed(),
             FetchScope::All => complete || target.position > after,
             FetchScope::Machine(machine) => is_own(target, machine),
@@ -249,7 +254,7 @@
         let wanted = self
             .targets
             .values()
-            .flat_map(|entry| entry.claims().filter(move |target| is_wanted(entry, target)));
+            .flat_map(|entry| entry.versions().filter(move |target| is_wanted(entry, target)));
         let configuration = self.configuration.as_ref();
         Update {
             after,
@@ -259,7 +264,9 @@
             age_ms: self.age(now).unwrap_or(u64::MAX),
             configuration: configuration
                 .filter(|known| {
-                    request.configuration.is_none_or(|asker| known.configuration.version > asker)
+                    request
+                        .configuration
+                        .is_none_or(|requested| known.configuration.version > requested)
                 })
                 .cloned(),
             targets: wanted.cloned().collect(),
@@ -267,8 +274,8 @@
         }
     }
 
-    /// The configuration and the evacuated zones alone, from a replica that does not have
-    /// all targets.
+    /// Returns only the configuration and the evacuated zones, for a replica that does not have all
+    /// targets.
     pub fn configuration_only(&self) -> Update {
         Update {
             configuration: self.configuration.clone(),
@@ -277,7 +284,7 @@
         }
     }
 
-    fn learn_eras(&mut self, update: &Update, now: Millis) {
+    fn learn_update_eras(&mut self, update: &Update, now: Millis) {
         let eras = update.targets.iter().map(|target| target.position.era);
         let newest = eras.fold(update.through.era, u64::max);
         self.learn_era(newest, now);
@@ -285,35 +292,36 @@
 
     fn advance(&mut self, through: Position) {
         if through.era > self.position.era {
-            // What confirmed the earlier era says nothing about this one.
+            // A confirmation of the earlier era does not confirm this one.
             self.confirmed_at = None;
-            if through.era == self.era.newest {
-                self.era.began_with = Some(through.revision);
+            if through.era == self.era_hold.newest {
+                self.era_hold.backup_revision = Some(through.revision);
             }
         }
         self.position = self.position.max(through);
     }
 
     fn set_zones(&mut self, zones: EvacuatedZones, now: Millis, changes: &mut Vec<Change>) {
-        let began = self.stored_zones.as_of;
-        if zones.as_of.era > began.era && !began.is_start() && self.era.is_on() {
-            self.kept_zones = self.evacuated.differences(&zones);
-            // An evacuation that the copy has counts, unless its end was heard of.
+        let previous = self.stored_zones.as_of;
+        if zones.as_of.era > previous.era && !previous.is_start() && self.era_hold.is_active() {
+            self.zone_overrides = self.evacuated.differences(&zones);
+            // An evacuation in the backup takes effect unless this daemon learned that it had
+            // ended.
             let returned_at = &self.returned_at;
-            self.kept_zones
+            self.zone_overrides
                 .retain(|zone, is_evacuated| *is_evacuated || returned_at.contains_key(zone));
         }
-        // The operator has written again what the copy lacked.
-        self.kept_zones.retain(|zone, is_evacuated| zones.contains(zone) != *is_evacuated);
+        // The operator has written again what was missing from the backup.
+        self.zone_overrides.retain(|zone, is_evacuated| zones.contains(zone) != *is_evacuated);
         self.stored_zones = zones;
-        self.count_zones(now, changes);
+        self.update_effective_zones(now, changes);
     }
 
-    /// Brings the evacuated zones that count up to date.
-    fn count_zones(&mut self, now: Millis, changes: &mut Vec<Change>) {
-        let zones = self.stored_zones.with(&self.kept_zones);
-        let begins = zones.iter().filter(|zone| !self.evacuated.contains(zone));
-        changes.extend(begins.map(|zone| Change::ZoneEvacuated { zone: zone.to_owned() }));
+    /// Updates the evacuated zones in effect.
+    fn update_effective_zones(&mut self, now: Millis, changes: &mut Vec<Change>) {
+        let zones = self.stored_zones.with_overrides(&self.zone_overrides);
+        let started = zones.iter().filter(|zone| !self.evacuated.contains(zone));
+        changes.extend(started.map(|zone| Change::ZoneEvacuated { zone: zone.to_owned() }));
         for zone in self.evacuated.iter().filter(|zone| !zones.contains(zone)) {
             changes.push(Change::ZoneReturned { zone: zone.to_owned() });
             self.returned_at.insert(zone.to_owned(), now);
@@ -341,8 +349,9 @@
         now: Millis,
         changes: &mut Vec<Change>,
     ) {
-        let held_through = self.era.held_through();
-        // The hold is over: what the newest era did not renew is gone.
+        let held_through = self.era_hold.held_through();
+        // After the hold period, a target whose record was not renewed in the newest era is
+        // considered removed.
         offered.present &= held_through.is_some() || offered.position.era >= self.position.era;
         let Some(entry) = self.targets.get_mut(&offered.id) else {
             changes.push(Change::of_target(&offered, false));
@@ -353,25 +362,25 @@
             entry.target.record.as_ref().and_then(|record| record.incarnation)
         };
         let before = incarnation(entry);
-        if entry.take(offered, held_through, now) {
+        if entry.merge(offered, held_through, now) {
             let restarted = before.is_some() && before != incarnation(entry);
             changes.push(Change::of_target(&entry.target, restarted));
         }
     }
 
-    /// Targets known here that a complete list as of `through` does not have. The list of
-    /// a new era proves nothing about what was known before: the copy that the store came
-    /// back from may be older.
+    /// Returns removals for the known targets that a complete listing as of `through` lacks. A
+    /// listing of a new era does not disprove what was known before: the backup that the store was
+    /// restored from may be older.
     fn absent_targets(
         &self,
         listed: &[VersionedTarget],
         through: Position,
     ) -> Vec<VersionedTarget> {
-        // A peer also names what is gone, and what it holds of earlier eras.
+        // A peer also lists removed targets and targets of earlier eras that it keeps.
         let listed = listed.iter();
         let listed = listed.filter(|target| target.present && target.position.era == through.era);
         let listed: BTreeSet<&str> = listed.map(|target| target.id.as_str()).collect();
-        let known = self.targets.values().flat_map(TargetEntry::claims);
+        let known = self.targets.values().flat_map(TargetEntry::versions);
         known
             .filter(|target| target.present && target.position <= through)
             .filter(|target| target.position.era == through.era)
@@ -394,7 +403,7 @@
     }
 }
 
-/// A time or span as a signed number; one too long for that counts as endless.
+/// Converts a time or duration to a signed number, limited to the maximum.
 fn signed(millis: Millis) -> i64 {
     i64::try_from(millis).unwrap_or(i64::MAX)
 }
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -1,26 +1,26 @@
-//! Waits that follow from the bounds of a deployment.
+//! Timeouts and intervals derived from the time bounds of a deployment.
 
 use crate::Millis;
 
-/// Bound on a change that a deployment without one is taken to have.
+/// Bound assumed for a deployment that does not configure one.
 const DEFAULT_BOUND_MS: Millis = 3_000;
-/// Time between renewals of a target's record that is assumed where none is told.
+/// Time between renewals of a target's record that is assumed if it is not configured.
 const DEFAULT_RENEWAL_MS: Millis = 1_100;
-/// Shortest and longest wait of a watch.
-const WATCH_WAITS_MS: (Millis, Millis) = (150, 1_000);
-/// Part of the tighter bound that a watch waits, so that a reader which fails at
-/// the worst moment is replaced in time: the last of many balancers begins to read
-/// after 1.83 waits, 0.61 of the bound.
-const WATCHES_A_BOUND: u64 = 3;
+/// Minimum and maximum wait of a watch.
+const WATCH_WAIT_RANGE_MS: (Millis, Millis) = (150, 1_000);
+/// Number of watch waits in the tightest bound. It is chosen so that a reader that fails at the
+/// worst moment is replaced in time: the last of many balancers starts to read after 1.83 watch
+/// waits, which is 0.61 of the bound.
+const WATCH_WAITS_PER_BOUND: u64 = 3;
 
-/// What a deployment promises to its users.
+/// The time bounds of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Milliseconds within which a configuration is in force.
+    /// Milliseconds within which a configuration takes effect.
     pub change_ms: Millis,
-    /// Milliseconds after which a leaving target gets no new flow.
+    /// Milliseconds after which a draining or leaving target gets no new flows.
     pub drain_ms: Millis,
-    /// Milliseconds after which the targets of an evacuated zone get no new flow.
+    /// Milliseconds after which the targets of an evacuated zone get no new flows.
     pub evacuation_ms: Millis,
     /// Milliseconds between renewals of a target's record.
     pub renewal_ms: Millis,
@@ -37,43 +37,43 @@
     }
 }
 
-/// Waits that keep the bounds.
+/// Timeouts and intervals that keep the bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Longest wait of one watch; an answer without changes confirms what is known.
+    /// Maximum wait of a watch. An answer without changes confirms the known state.
     pub watch_wait_ms: Millis,
-    /// Shortest time from one watch to the next, so that changes in quick
-    /// succession share a call.
+    /// Minimum time between two watches, so that changes in quick succession share a call.
     pub watch_spacing_ms: Millis,
-    /// Knowledge older than this is worth a call of one's own. Above the wait of a
-    /// watch, so that a working reader is never doubled.
+    /// Age of the known state from which a balancer reads the store itself. It exceeds the wait of
+    /// a watch, so that a second balancer does not start reading beside a working reader.
     pub read_after_ms: Millis,
-    /// Time that each balancer leaves to the one before it.
+    /// Additional delay for each balancer with a lower address.
     pub rank_step_ms: Millis,
-    /// Longest such time.
+    /// Maximum of that delay.
     pub longest_rank_wait_ms: Millis,
-    /// How long a reader's word that it reads counts.
+    /// How long a peer's report that it reads the store is valid.
     pub reader_word_ms: Millis,
-    /// Knowledge younger than this is recent enough to refuse a flow by.
+    /// Age up to which the known state is fresh enough to refuse flows based on it.
     pub fresh_ms: Millis,
-    /// Knowledge older than this counts as lost.
+    /// Age from which the known state is considered stale.
     pub stale_ms: Millis,
-    /// How long targets without a record may take flows after the store's word
-    /// became fresh again: living ones have renewed their records by then. For as long,
-    /// a store that came back from a copy is not believed against what was known before.
+    /// How long targets without a record may get flows after the known state became fresh again;
+    /// targets that are alive have renewed their records by then. This is also the hold period
+    /// during which a store restored from a backup does not override what was known before.
     pub settle_ms: Millis,
-    /// How long a target whose record left without a word may take flows when its
-    /// service has no other.
+    /// How long a target whose record disappeared without notice may still get flows if its service
+    /// has no other target.
     pub vanished_grace_ms: Millis,
 }
 
 impl Timing {
-    /// The waits for these bounds.
+    /// Derives the timeouts and intervals from the bounds.
     pub fn new(bounds: &Bounds) -> Self {
-        let tighter = bounds.change_ms.min(bounds.drain_ms).min(bounds.evacuation_ms);
-        let wait = (tighter / WATCHES_A_BOUND).clamp(WATCH_WAITS_MS.0, WATCH_WAITS_MS.1);
+        let tightest_bound = bounds.change_ms.min(bounds.drain_ms).min(bounds.evacuation_ms);
+        let wait = (tightest_bound / WATCH_WAITS_PER_BOUND)
+            .clamp(WATCH_WAIT_RANGE_MS.0, WATCH_WAIT_RANGE_MS.1);
         // Two renewals, as one may be lost, within the bound on leaving targets.
-        let renewed = bounds.renewal_ms * 9 / 4;
+        let renewal_time = bounds.renewal_ms * 9 / 4;
         Self {
             watch_wait_ms: wait,
             watch_spacing_ms: wait / 4,
@@ -83,7 +83,7 @@
             reader_word_ms: wait * 13 / 10,
             fresh_ms: wait * 18 / 10,
             stale_ms: wait * 5 / 2,
-            settle_ms: renewed.min(bounds.drain_ms * 5 / 6),
+            settle_ms: renewal_time.min(bounds.drain_ms * 5 / 6),
             vanished_grace_ms: bounds.drain_ms / 2,
         }
     }
--- a/crates/fleet/src/update.rs
+++ b/crates/fleet/src/update.rs
@@ -1,4 +1,4 @@
-//! What sources say about the store, and what that changed.
+//! Updates from the store and from peers, and the changes that they make.
 
 use musli::{Decode, Encode};
 
@@ -6,76 +6,77 @@
 use crate::evacuation::ZoneNews;
 use crate::model::{Configuration, TargetRecord};
 use crate::position::Position;
-use crate::succession::VersionedTarget;
+use crate::target_entry::VersionedTarget;
 
 /// A configuration with the position of its write.
 ///
-/// The operator's version orders configurations, not the position: a store that came back
-/// from a copy states an older one, and the operator writes the newest again.
+/// Configurations are ordered by the operator's version, not by position: a store that was restored
+/// from a backup may contain an older one, and the operator then writes the newest one again.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct VersionedConfiguration {
     /// The position of the write.
     pub position: Position,
-    /// The configuration written.
+    /// The configuration itself.
     pub configuration: Configuration,
 }
 
-/// What one source says about the store.
+/// An update about the store's contents from the store itself or from a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Update {
-    /// The update holds every change after this position.
+    /// The update contains every change after this position.
     pub after: Position,
-    /// Up to this position; the start if the source does not know all changes of any span.
+    /// The update contains every change up to this position; the start position if the source does
+    /// not know all changes of any range.
     pub through: Position,
-    /// Whether the update lists everything; what it lacks is not in the store.
+    /// Whether the update is a complete listing; targets that it lacks are not in the store.
     pub complete: bool,
-    /// Whether targets that came and went in the span may be missing, as the source knows
-    /// a part of it by a listing alone.
+    /// Whether targets that were added and removed within the range may be missing, because the
+    /// source knows part of it only from a listing.
     pub skips: bool,
     /// Milliseconds since the store itself confirmed `through`.
     pub age_ms: u64,
-    /// The configuration, if it changed in this span.
+    /// The configuration, if it changed within the range.
     pub configuration: Option<VersionedConfiguration>,
-    /// Targets that changed in this span.
+    /// Targets that changed within the range.
     pub targets: Vec<VersionedTarget>,
     /// Evacuated zones.
     pub zones: ZoneNews,
 }
 
 impl Update {
-    /// The same after `elapsed_ms` on its way from the source.
+    /// Returns the update with its age increased by the time spent in transit.
     pub fn delayed_by(self, elapsed_ms: Millis) -> Self {
         Self { age_ms: self.age_ms.saturating_add(elapsed_ms), ..self }
     }
 }
 
-/// What an update changed in the replica, for logs and dependents.
+/// A change that an update made to the replica, for logs and dependents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A configuration came into force.
+    /// A configuration took effect.
     Configuration {
         /// Its version.
         version: u64,
         /// The position of its write.
         position: Position,
     },
-    /// A target's record appeared or changed.
+    /// A target's record was added or changed.
     Target {
         /// The target's identifier.
         id: String,
-        /// The record now known.
+        /// The current record.
         record: TargetRecord,
-        /// Whether it is another life of a target that was known.
+        /// Whether this is another incarnation of a known target.
         restarted: bool,
     },
-    /// A target's record left the store.
+    /// A target's record was removed from the store.
     Removed {
         /// The target's identifier.
         id: String,
-        /// The last record known.
+        /// The last known record.
         record: Option<TargetRecord>,
     },
-    /// The targets of a zone are to get no new flows from now on.
+    /// A zone's evacuation started: its targets must not get new flows.
     ZoneEvacuated {
         /// The zone's name.
         zone: String,
@@ -88,7 +89,7 @@
 }
 
 impl Change {
-    /// The change that brought about what is now known of a target.
+    /// Returns the change that led to the current state of a target.
     pub(crate) fn of_target(target: &VersionedTarget, restarted: bool) -> Self {
         let id = target.id.clone();
         match (&target.record, target.present) {
