--- a/crates/relay/src/fleet_node/changes.rs
+++ b/crates/relay/src/fleet_node/change_log.rs
@@ -1,4 +1,4 @@
-//! Tells in the log what is believed anew.
+//! Log entries about changes of the known state.
 
 use slog::info;
 use weirhinge_fleet::{Change, Millis};
@@ -6,10 +6,10 @@
 use super::FleetNode;
 
 impl FleetNode {
-    /// Tells what is not believed yet of a store that came back from a copy.
-    pub(super) fn log_kept(&self) {
+    /// Logs what is kept against a restored store during the hold period.
+    pub(super) fn log_hold(&self) {
         let kept = self.replica.kept();
-        info!(self.log, "fleet: kept against the store's copy"; "event" => "store_hold",
+        info!(self.log, "fleet: hold period after a store restore began"; "event" => "store_hold",
             "era" => self.replica.position().era, "unrenewed" => kept.unrenewed,
             "disputed" => kept.disputed, "zones" => kept.zones,
             "hold_ms" => self.timing.settle_ms);
@@ -19,13 +19,13 @@
         let age_ms = self.replica.age(now);
         match change {
             Change::Configuration { version, position } => {
-                info!(self.log, "fleet: configuration in force"; "event" => "configuration",
+                info!(self.log, "fleet: configuration applied"; "event" => "configuration",
                     "version" => version, "era" => position.era, "revision" => position.revision,
                     "source" => source,
                     "age_ms" => age_ms);
             }
             Change::Target { id, record, restarted } => {
-                info!(self.log, "fleet: target recorded"; "event" => "target", "target" => id,
+                info!(self.log, "fleet: target updated"; "event" => "target", "target" => id,
                     "agent" => record.machine().to_string(), "state" => ?record.state,
                     "service" => &record.service, "cold_ms" => record.warm_up_ms,
                     "restarted" => restarted,
@@ -37,7 +37,7 @@
                     "source" => source, "age_ms" => age_ms);
             }
             Change::ZoneReturned { zone } => {
-                info!(self.log, "fleet: zone taken back"; "event" => "zone_returned",
+                info!(self.log, "fleet: zone evacuation ended"; "event" => "zone_returned",
                     "zone" => zone, "revision" => self.replica.evacuated().as_of.revision,
                     "source" => source, "age_ms" => age_ms);
             }
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -1,7 +1,8 @@
-//! What this daemon knows, and how it keeps in step with its peers.
+//! The daemon's state of the store and of its peers, and how it is kept up to date through digests
+//! and fetches.
 
-mod changes;
-mod contacts;
+mod change_log;
+mod peer_selection;
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -17,62 +18,63 @@
 
 use crate::settings::CommonSettings;
 
-/// A digest this much fresher than what was known is passed on.
-const NEWS_MS: Millis = 300;
-/// Agents told at once of a new record of their target; the others are told in answer to
-/// their next digest.
-const AGENTS_TOLD: usize = 64;
+/// A digest that reduces the age of the known state by at least this much is propagated.
+const MIN_FRESHNESS_GAIN_MS: Millis = 300;
+/// Maximum number of agents notified immediately of a new record of their target; the others
+/// receive it in answer to their next digest.
+const MAX_AGENTS_NOTIFIED: usize = 64;
 
-/// What a digest calls for.
+/// The actions that follow from a digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reaction {
-    /// The sender knows more: fetch its changes, or those of another daemon that is
-    /// likely to know them as well.
+    /// The daemon to fetch from, if the sender knows more: the sender itself, or another daemon
+    /// that is likely to know as much.
     pub fetch_from: Option<Ipv4Addr>,
-    /// The sender knows less, or asks.
+    /// Whether to reply with a digest, because the sender knows less or requests one.
     pub reply: bool,
-    /// The digest brought news: pass it on.
+    /// Whether to propagate a digest to other peers, because this one brought new information.
     pub spread: bool,
-    /// The sender is an agent that lacks this record of its target.
+    /// The record of the sender's target, if the sender is an agent that lacks it.
     pub record: Option<VersionedTarget>,
 }
 
-/// A daemon's knowledge of the store and of its peers.
+/// A daemon's state of the store and of its peers.
 pub struct FleetNode {
     address: Ipv4Addr,
     role: PeerRole,
     replica: Replica,
     peers: PeerTable,
     view: FleetView,
-    was_fresh: bool,
-    regained_at: Option<Millis>,
+    /// Set when the known state becomes fresh, cleared when it becomes stale.
+    is_view_fresh: bool,
+    view_regained_at: Option<Millis>,
     timing: Timing,
     locality: Locality,
     random: RefCell<StdRng>,
-    /// Records that the store changed and that their targets' agents were not told yet.
-    recorded: Vec<VersionedTarget>,
-    /// When this balancer checks what the others say of the store.
-    checks: Cell<reader::CheckSchedule>,
-    /// Whether this daemon reads the store for the others.
+    /// Records that changed in the store and of which the targets' agents were not notified yet.
+    pending_records: Vec<VersionedTarget>,
+    /// When this balancer makes verification reads of the store.
+    verification: Cell<reader::CheckSchedule>,
+    /// Whether this daemon reads the store on behalf of the others.
     pub reading: bool,
     zone: ZoneId,
     capacity: Option<u32>,
-    /// Whether this daemon is about to stop.
+    /// Whether this daemon is shutting down.
     pub stopping: bool,
     /// Whether this balancer cannot keep up with its packets.
     pub overloaded: bool,
-    /// What an agent says about its target.
+    /// The status that an agent reports of its target.
     pub claim: Option<TargetClaim>,
     log: Logger,
 }
 
 impl FleetNode {
-    /// A daemon that knows its seeds alone.
+    /// Creates a daemon that knows only its seeds.
     pub fn new(settings: &CommonSettings, role: PeerRole, log: Logger) -> Self {
         Self::with_seed(settings, role, log, rand::random())
     }
 
-    /// The same with a fixed seed for the choice of peers.
+    /// Like [`FleetNode::new`], with a fixed random seed for the choice of peers.
     pub fn with_seed(settings: &CommonSettings, role: PeerRole, log: Logger, seed: u64) -> Self {
         let address = settings.address;
         Self {
@@ -81,13 +83,13 @@
             replica: Replica::with_hold(settings.timing.settle_ms),
             peers: PeerTable::new(address, settings.seeds.iter().copied()),
             view: FleetView::default(),
-            was_fresh: false,
-            regained_at: None,
+            is_view_fresh: false,
+            view_regained_at: None,
             timing: settings.timing,
             locality: settings.locality.clone(),
             random: RefCell::new(StdRng::seed_from_u64(seed)),
-            recorded: Vec::new(),
-            checks: Cell::default(),
+            pending_records: Vec::new(),
+            verification: Cell::default(),
             reading: false,
             zone: ZoneId::of(&settings.zone),
             capacity: settings.capacity,
@@ -98,44 +100,44 @@
         }
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds, the addresses of balancers from the settings.
     pub fn set_seeds(&mut self, seeds: &[Ipv4Addr]) {
         self.peers.set_seeds(seeds.iter().copied());
     }
 
-    /// Routes and targets in force.
+    /// Returns the routes and targets in effect.
     pub fn view(&self) -> &FleetView {
         &self.view
     }
 
-    /// The position up to which all changes are known.
+    /// Returns the position up to which all changes are known.
     pub fn position(&self) -> Position {
         self.replica.position()
     }
 
-    /// The newest era of the store heard of.
+    /// Returns the newest era of the store reported by any source.
     pub fn newest_era(&self) -> u64 {
         self.replica.newest_era()
     }
 
-    /// Milliseconds since the store confirmed what is known.
+    /// Returns the milliseconds since the store confirmed the known state; none if it never did.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.replica.age(now)
     }
 
-    /// Whether the store's word is recent enough to refuse by.
+    /// Whether the known state is recent enough to refuse flows based on it.
     pub fn is_fresh(&self, now: Millis) -> bool {
         self.age(now).is_some_and(|age| age < self.timing.fresh_ms)
     }
 
-    /// When the store's word became fresh after it was lost, or the store came back from a
-    /// copy; given out once.
+    /// Returns when the known state became fresh again after it was stale, or when a restore of the
+    /// store was detected. Each such time is returned once.
     pub fn take_regained(&mut self) -> Option<Millis> {
-        self.regained_at.take()
+        self.view_regained_at.take()
     }
 
-    /// What a peer asks for. An agent does not have all targets and gives the
-    /// configuration alone.
+    /// Answers a peer's fetch request. An agent does not have all targets and returns only the
+    /// configuration and the evacuated zones.
     pub fn answer(&self, request: FetchRequest, now: Millis) -> Update {
         match self.role {
             PeerRole::Agent => self.replica.configuration_only(),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// What this daemon asks a peer for.
+    /// Returns this daemon's fetch request to a peer.
     pub fn request(&self) -> FetchRequest {
         let scope = match self.role {
             PeerRole::Balancer => FetchScope::All,
@@ -153,28 +155,30 @@
         FetchRequest { after, configuration, scope }
     }
 
-    /// Whether a peer's digest tells of something that this daemon wants.
-    fn wants(&self, digest: &Digest) -> bool {
-        let newer = digest.position > self.replica.position();
-        let newer_configuration = digest.configuration > self.replica.version();
+    /// Whether a peer's digest shows state that this daemon needs.
+    fn needs_fetch(&self, digest: &Digest) -> bool {
+        let has_newer_position = digest.position > self.replica.position();
+        let has_newer_configuration = digest.configuration > self.replica.version();
         match (self.role, digest.role) {
-            // A store that came back from a copy states an older configuration than peers
+            // A store that was restored from a backup may return an older configuration than peers
             // know, at a later position.
-            (PeerRole::Balancer, PeerRole::Balancer) => newer || newer_configuration,
-            // Agents are asked only by those who know nothing.
+            (PeerRole::Balancer, PeerRole::Balancer) => {
+                has_newer_position || has_newer_configuration
+            }
+            // Only daemons without a configuration fetch from agents.
             (PeerRole::Balancer, PeerRole::Agent) => {
-                self.replica.version().is_none() && newer_configuration
+                self.replica.version().is_none() && has_newer_configuration
             }
-            // Agents are told of their targets' records. In a new era of the store they have
-            // to know which of those may be the copy's.
+            // Balancers send agents the records of their targets. After a restore of the store,
+            // agents also have to know which of the records may come from the backup.
             (PeerRole::Agent, PeerRole::Balancer) => {
-                newer_configuration || digest.position.era > self.replica.position().era
+                has_newer_configuration || digest.position.era > self.replica.position().era
             }
-            (PeerRole::Agent, PeerRole::Agent) => newer_configuration,
+            (PeerRole::Agent, PeerRole::Agent) => has_newer_configuration,
         }
     }
 
-    /// What this daemon says of itself.
+    /// Returns this daemon's digest. `reply` requests one in return.
     pub fn digest(&self, reply: bool, now: Millis) -> Digest {
         Digest {
             sender: self.address.to_bits(),
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Takes in a peer's digest.
+    /// Processes a peer's digest. Returns the actions that follow from it.
     pub fn on_digest(&mut self, digest: &Digest, now: Millis) -> Reaction {
         let is_new = self.peers.heard(digest, now);
         if is_new {
@@ -210,21 +214,22 @@
             self.replica.confirm(known, age_ms, now);
         }
         let evacuations = self.replica.learn_evacuated(&digest.evacuated, now);
-        self.note_changes(&evacuations, "peer", now);
-        self.note_freshness(now);
-        let fresher = match (age_before, self.replica.age(now)) {
-            (Some(before), Some(after)) => before >= after + NEWS_MS,
+        self.handle_changes(&evacuations, "peer", now);
+        self.update_freshness(now);
+        let is_fresher = match (age_before, self.replica.age(now)) {
+            (Some(before), Some(after)) => before >= after + MIN_FRESHNESS_GAIN_MS,
             (before, after) => before.is_none() && after.is_some(),
         };
         Reaction {
-            fetch_from: self.wants(digest).then(|| self.fetch_source(digest)),
-            reply: is_new || digest.reply || self.has_news_for(digest),
-            spread: (fresher || !evacuations.is_empty()) && self.role == PeerRole::Balancer,
+            fetch_from: self.needs_fetch(digest).then(|| self.fetch_source(digest)),
+            reply: is_new || digest.reply || self.has_updates_for(digest),
+            spread: (is_fresher || !evacuations.is_empty()) && self.role == PeerRole::Balancer,
             record: self.record_for(digest),
         }
     }
 
-    /// The record of a target whose agent says that it does not know it.
+    /// Returns the record of the sender's target if the digest reports that its agent does not have
+    /// it.
     fn record_for(&self, digest: &Digest) -> Option<VersionedTarget> {
         digest.target.as_ref().filter(|claim| !claim.recorded)?;
         let is_own = |target: &&VersionedTarget| {
@@ -234,14 +239,14 @@
         self.replica.targets().map(|entry| &entry.target).find(is_own).cloned()
     }
 
-    /// Takes in what a balancer says of the target beside this agent.
+    /// Applies a record of this agent's target that a balancer sent.
     pub fn apply_record(&mut self, target: VersionedTarget, now: Millis) {
         let update = Update { targets: vec![target], ..Update::default() };
         self.apply(update, "peer", now);
     }
 
-    /// Whether the sender of a digest would want what this daemon knows.
-    fn has_news_for(&self, digest: &Digest) -> bool {
+    /// Whether this daemon knows something that the sender of a digest needs.
+    fn has_updates_for(&self, digest: &Digest) -> bool {
         match digest.role {
             PeerRole::Balancer => {
                 digest.position < self.replica.position()
@@ -254,35 +259,35 @@
         }
     }
 
-    /// Takes in what the store or a peer says. Returns whether anything changed.
+    /// Applies an update from the store or a peer. Returns whether anything changed.
     pub fn apply(&mut self, update: Update, source: &str, now: Millis) -> bool {
         let before = self.replica.position();
         self.learn_era(update.through.era, source, now);
         let changes = self.replica.apply(update, now);
         if self.replica.position().era > before.era && !before.is_start() {
-            self.log_kept();
+            self.log_hold();
         }
-        self.note_changes(&changes, source, now);
-        self.note_freshness(now);
+        self.handle_changes(&changes, source, now);
+        self.update_freshness(now);
         !changes.is_empty() || self.replica.position() > before
     }
 
-    /// Takes in which era the store is in. In a new one targets may live that the store
-    /// lacks.
+    /// Records the era that the store is in. In a new era, targets may be alive that the restored
+    /// store lacks.
     fn learn_era(&mut self, era: u64, source: &str, now: Millis) {
         let known = self.replica.position();
-        // To a daemon that has just started the store's present era is no news.
+        // To a daemon that has just started, the store's current era is not a restore.
         if !self.replica.learn_era(era, now) || known.is_start() {
             return;
         }
-        self.regained_at = Some(now);
-        info!(self.log, "fleet: the store came back from a copy"; "event" => "store_restored",
+        self.view_regained_at = Some(now);
+        info!(self.log, "fleet: the store was restored from a backup"; "event" => "store_restored",
             "era" => era, "known_era" => known.era, "revision" => known.revision,
             "configuration" => self.replica.version(), "source" => source);
     }
 
-    /// Logs changes and brings the view up to date.
-    fn note_changes(&mut self, changes: &[Change], source: &str, now: Millis) {
+    /// Logs changes and updates the view.
+    fn handle_changes(&mut self, changes: &[Change], source: &str, now: Millis) {
         for change in changes {
             self.log_change(change, source, now);
         }
@@ -296,18 +301,18 @@
         self.view.is_evacuated(self.zone)
     }
 
-    /// Takes in what the store itself says.
+    /// Applies an update from the store itself.
     pub fn apply_from_store(&mut self, update: Update, now: Millis) {
         let known = self.replica.position();
         self.apply(update, "store", now);
         let changed = self.replica.targets().filter(|entry| entry.target.position > known);
         let records = changed.map(|entry| &entry.target).filter(|target| target.record.is_some());
-        self.recorded = records.take(AGENTS_TOLD).cloned().collect();
+        self.pending_records = records.take(MAX_AGENTS_NOTIFIED).cloned().collect();
     }
 
-    /// New records, to be told to their targets' agents; given out once.
+    /// Takes the new records of which the targets' agents are to be notified.
     pub fn take_recorded(&mut self) -> Vec<VersionedTarget> {
-        std::mem::take(&mut self.recorded)
+        std::mem::take(&mut self.pending_records)
     }
 
     /// Whether this balancer should make the next call to the store.
@@ -318,56 +323,56 @@
             rank: self.peers.rank(),
             reading: self.reading,
             lower_reader: self.peers.lower_reader(now, self.timing.reader_word_ms),
-            checks: self.is_due_to_check(now),
+            checks: self.is_verification_due(now),
         };
         reader::should_read(&inputs, &self.timing)
     }
 
-    /// Milliseconds to wait after so many failed calls to the store in a row.
+    /// Returns the milliseconds to wait after a number of consecutive failed calls to the store.
     pub fn wait_after_failure(&self, failures: u32) -> Millis {
         let fraction = self.random.borrow_mut().random();
         reader::wait_after_failure(failures, self.balancer_count(), fraction)
     }
 
-    /// Number of balancers known, this one among them.
+    /// Returns the number of known balancers, including this one.
     fn balancer_count(&self) -> usize {
         self.peers.balancers().count() + 1
     }
 
-    fn is_due_to_check(&self, now: Millis) -> bool {
+    fn is_verification_due(&self, now: Millis) -> bool {
         let balancers = self.balancer_count();
         let fraction = self.random.borrow_mut().random();
-        let mut checks = self.checks.get();
-        let is_due = checks.is_due(now, balancers, fraction);
-        self.checks.set(checks);
+        let mut schedule = self.verification.get();
+        let is_due = schedule.is_due(now, balancers, fraction);
+        self.verification.set(schedule);
         is_due
     }
 
-    fn note_freshness(&mut self, now: Millis) {
-        // Agents decide nothing by the age of what they know.
+    fn update_freshness(&mut self, now: Millis) {
+        // Agents make no decisions based on the age of their state.
         if self.role == PeerRole::Agent {
             return;
         }
         let age = self.replica.age(now);
         let is_fresh = age.is_some_and(|age| age < self.timing.fresh_ms);
         let is_lost = age.is_none_or(|age| age >= self.timing.stale_ms);
-        if is_fresh && !self.was_fresh {
-            self.was_fresh = true;
-            self.regained_at = Some(now);
-            info!(self.log, "fleet: knowledge of the store is fresh"; "event" => "store_view_fresh",
+        if is_fresh && !self.is_view_fresh {
+            self.is_view_fresh = true;
+            self.view_regained_at = Some(now);
+            info!(self.log, "fleet: store view is fresh"; "event" => "store_view_fresh",
                 "revision" => self.replica.position().revision, "age_ms" => age);
-        } else if is_lost && self.was_fresh {
-            self.was_fresh = false;
-            info!(self.log, "fleet: knowledge of the store is old"; "event" => "store_view_old",
+        } else if is_lost && self.is_view_fresh {
+            self.is_view_fresh = false;
+            info!(self.log, "fleet: store view is stale"; "event" => "store_view_old",
                 "revision" => self.replica.position().revision, "age_ms" => age);
         }
     }
 
-    /// Notices what time alone changes: knowledge becomes old, and a store that came back
-    /// from a copy is believed in the end.
+    /// Handles changes caused by the passage of time: the known state becomes stale, and the hold
+    /// period after a restore of the store ends.
     pub fn check_freshness(&mut self, now: Millis) {
         let changes = self.replica.settle(now);
-        self.note_changes(&changes, "hold over", now);
-        self.note_freshness(now);
+        self.handle_changes(&changes, "hold over", now);
+        self.update_freshness(now);
     }
 }
