--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones: whole in every message, never back to an older state.
+//! Evacuated zones: the set is complete in every message and never reverts to an older state.
 
 use proptest::prelude::*;
 use weirhinge_fleet::{
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_evacuation_begins_and_ends_with_the_stores_word() {
+fn store_changes_start_and_end_an_evacuation() {
     let mut replica = Replica::new();
     replica.apply(listing(10, &[]), 0);
     let changes = replica.apply(events(10, 12, &[(11, "a", true)]), 100);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_zone_that_a_listing_lacks_was_taken_back() {
+fn listing_without_a_zone_ends_its_evacuation() {
     let mut replica = Replica::new();
     replica.apply(listing(10, &["a", "b"]), 0);
     replica.apply(listing(20, &["b"]), 50);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_older_word_brings_nothing_back() {
+fn older_update_does_not_restore_an_evacuation() {
     let mut replica = Replica::new();
     replica.apply(listing(10, &["a"]), 0);
     replica.apply(events(10, 20, &[(18, "a", false)]), 10);
@@ -63,10 +63,11 @@
     assert_eq!(evacuated(&replica), Vec::<&str>::new());
 }
 
-/// The pages of a listing are read one after the other: what began after the first page
-/// may stand on a later one, and comes once more with the changes after the first page.
+/// The pages of a listing are read one after the other: an evacuation that began after the first
+/// page was read may be on a later page, and is then repeated among the changes after the first
+/// page.
 #[test]
-fn changes_that_a_listing_held_already_do_no_harm() {
+fn changes_already_in_the_listing_are_ignored() {
     let mut replica = Replica::new();
     replica.apply(listing(10, &["a"]), 0);
     replica.apply(events(10, 16, &[(12, "a", true), (14, "a", false)]), 10);
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_daemon_without_memory_learns_everything_from_any_peer() {
+fn restarted_daemon_learns_evacuations_from_any_peer() {
     let mut balancer = Replica::new();
     balancer.apply(listing(10, &["a"]), 0);
     let mut agent = Replica::new();
@@ -88,10 +89,10 @@
     }
 }
 
-/// All balancers may restart after an evacuation ended, and know nothing of it. An agent
-/// that went on must not keep its zone evacuated for ever.
+/// All balancers may restart after an evacuation ended and then know nothing of it. An agent that
+/// kept running must not consider its zone evacuated for ever.
 #[test]
-fn an_agent_hears_of_the_end_from_a_balancer_that_never_knew_the_evacuation() {
+fn agent_learns_of_the_end_from_a_balancer_without_the_evacuation() {
     let mut agent = Replica::new();
     agent.learn_evacuated(&zones(10, &["a"]), 0);
     let mut restarted = Replica::new();
@@ -102,31 +103,31 @@
 }
 
 #[test]
-fn the_number_of_zones_is_bounded() {
+fn number_of_zones_is_bounded() {
     let names: Vec<String> = (0..1_000).map(|number| format!("zone-{number}")).collect();
     assert_eq!(EvacuatedZones::new(at(1), names).len(), 64);
 }
 
 proptest! {
-    /// Whoever tells what, in whatever order: the newest state wins, and nothing older.
+    /// The newest state wins, for any sources and any order of messages.
     #[test]
-    fn replicas_agree_on_the_newest_state(
+    fn newest_state_wins(
         states in proptest::collection::vec(proptest::collection::btree_set("[a-c]", 0..3), 1..8),
         order in proptest::collection::vec((any::<bool>(), any::<proptest::sample::Index>()), 0..30),
     ) {
-        let as_of = |place: usize| at(10 + place as u64);
-        let whole = |place: usize| EvacuatedZones::new(as_of(place), states[place].clone());
+        let as_of = |index: usize| at(10 + index as u64);
+        let complete = |index: usize| EvacuatedZones::new(as_of(index), states[index].clone());
         let mut replica = Replica::new();
         let mut newest = None;
-        for (digest, index) in order {
-            let place = index.index(states.len());
-            if digest {
-                replica.learn_evacuated(&whole(place), 0);
+        for (is_digest, index) in order {
+            let state_index = index.index(states.len());
+            if is_digest {
+                replica.learn_evacuated(&complete(state_index), 0);
             } else {
-                replica.apply(Update { zones: ZoneNews::Whole(whole(place)), ..Update::default() }, 0);
+                replica.apply(Update { zones: ZoneNews::Whole(complete(state_index)), ..Update::default() }, 0);
             }
-            newest = newest.max(Some(place));
-            let expected = newest.map(whole).unwrap_or_default();
+            newest = newest.max(Some(state_index));
+            let expected = newest.map(complete).unwrap_or_default();
             prop_assert_eq!(replica.evacuated(), &expected);
         }
     }
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Peers, the choice of readers, and what peers send each other.
+//! The peer table, the reader election and the messages between peers.
 
 use std::net::Ipv4Addr;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn seeds_are_silent_until_they_are_heard() {
+fn seeds_are_silent_until_a_digest_arrives() {
     let mut peers = PeerTable::new(OWN, [OWN, address(1), address(2)]);
     assert_eq!(peers.silent_seeds().collect::<Vec<_>>(), vec![address(1), address(2)]);
     assert!(peers.heard(&digest(address(1), false), 0));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn capable_peers_run_in_the_zone_have_the_capacity_and_go_on() {
+fn capable_peers_are_in_the_zone_with_capacity_and_not_stopping() {
     let mut peers = PeerTable::new(OWN, []);
     let zone = ZoneId::of("a");
     peers.heard(&digest(address(1), false), 7);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn configured_peers_know_a_configuration_and_go_on() {
+fn serving_peers_have_a_configuration_and_are_not_stopping() {
     let mut peers = PeerTable::new(OWN, []);
     peers.heard(&digest(address(1), false), 7);
     peers.heard(&Digest { configuration: None, ..digest(address(2), false) }, 7);
@@ -81,17 +81,17 @@
 }
 
 #[test]
-fn balancers_that_peers_name_are_known_but_not_named_on() {
+fn advertised_balancers_are_known_but_not_advertised_further() {
     let mut peers = PeerTable::new(OWN, []);
-    let named = Digest { balancers: vec![address(9).to_bits()], ..digest(address(1), false) };
-    peers.heard(&named, 0);
+    let advertising = Digest { balancers: vec![address(9).to_bits()], ..digest(address(1), false) };
+    peers.heard(&advertising, 0);
     assert_eq!(peers.balancers().collect::<Vec<_>>(), vec![address(1), address(9)]);
-    // Hearsay does not travel further until the balancer was heard.
+    // An advertised balancer is not advertised further until a digest from it has arrived.
     assert_eq!(peers.named_in_digest(0), vec![address(1).to_bits()]);
 }
 
 #[test]
-fn rank_counts_lower_balancers_alone() {
+fn rank_counts_only_lower_balancers() {
     let mut peers = PeerTable::new(OWN, []);
     peers.heard(&digest(address(1), true), 0);
     peers.heard(&digest(address(9), true), 0);
@@ -102,19 +102,19 @@
 }
 
 #[test]
-fn a_higher_reader_stops_nobody() {
+fn reader_with_higher_address_is_ignored() {
     let mut peers = PeerTable::new(OWN, []);
     peers.heard(&digest(address(9), true), 0);
     assert!(!peers.lower_reader(10, 1_000));
 }
 
 #[test]
-fn fresh_knowledge_is_not_read_again() {
+fn fresh_state_is_not_read_again() {
     assert!(!should_read(&inputs(), &Timing::default()));
 }
 
 #[test]
-fn a_reader_goes_on_until_a_lower_one_reads() {
+fn reader_continues_until_a_lower_one_reads() {
     assert!(should_read(&ReaderInputs { reading: true, ..inputs() }, &Timing::default()));
     assert!(!should_read(
         &ReaderInputs { reading: true, lower_reader: true, ..inputs() },
@@ -123,45 +123,45 @@
 }
 
 #[test]
-fn old_knowledge_is_read_in_order_of_rank_and_within_two_seconds() {
-    let old = |age_ms, rank| {
+fn old_state_is_read_in_order_of_rank_within_two_seconds() {
+    let reads_at = |age_ms, rank| {
         should_read(&ReaderInputs { age_ms: Some(age_ms), rank, ..inputs() }, &Timing::default())
     };
-    assert!(old(1_400, 0));
-    assert!(!old(1_400, 1));
-    assert!(old(1_500, 1));
-    assert!(old(1_900, 500), "also the last of many balancers reads in time");
+    assert!(reads_at(1_400, 0));
+    assert!(!reads_at(1_400, 1));
+    assert!(reads_at(1_500, 1));
+    assert!(reads_at(1_900, 500), "the last of many balancers also reads in time");
 }
 
 #[test]
-fn a_balancer_that_knows_nothing_reads_soon_even_if_others_do() {
-    let new = |uptime_ms| ReaderInputs {
+fn balancer_without_state_reads_soon_even_if_others_read() {
+    let without_state = |uptime_ms| ReaderInputs {
         uptime_ms,
         age_ms: None,
         rank: 3,
         lower_reader: true,
         ..inputs()
     };
-    assert!(!should_read(&new(0), &Timing::default()));
-    assert!(should_read(&new(50), &Timing::default()));
+    assert!(!should_read(&without_state(0), &Timing::default()));
+    assert!(should_read(&without_state(50), &Timing::default()));
 }
 
-/// First byte of the datagrams of this version of the protocol.
-const OUR_VERSION: u8 = 7;
+/// First byte of the datagrams of this protocol version.
+const PROTOCOL_VERSION: u8 = 7;
 
 #[test]
-fn foreign_datagrams_are_refused() {
+fn foreign_datagrams_are_rejected() {
     assert_eq!(decode::<PeerMessage<'_>>(&[]), Err(MessageError::UnknownVersion));
     assert_eq!(decode::<PeerMessage<'_>>(&[200, 1, 2]), Err(MessageError::UnknownVersion));
     assert_eq!(
-        decode::<PeerMessage<'_>>(&[OUR_VERSION, 255, 255, 255]),
+        decode::<PeerMessage<'_>>(&[PROTOCOL_VERSION, 255, 255, 255]),
         Err(MessageError::Malformed)
     );
 }
 
 proptest! {
     #[test]
-    fn forwarded_packets_come_through(
+    fn forwarded_packets_survive_encoding(
         service in any::<u64>(),
         search in prop::option::of((any::<u32>(), prop::collection::vec(any::<u32>(), 0..8))),
         may_wait in any::<bool>(),
@@ -174,12 +174,12 @@
         let mut buffer = Vec::new();
         encode(&message, &mut buffer).expect("encodes");
         prop_assert_eq!(decode::<PeerMessage<'_>>(&buffer).expect("decodes"), message);
-        // A datagram of 1,234 bytes grows by a few bytes, not by a second head.
+        // The encoding adds a few bytes to a datagram of 1,234 bytes, not a second header.
         prop_assert!(buffer.len() <= packet.len() + 40 + path_length);
     }
 
     #[test]
-    fn noise_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut framed = vec![1];
         framed.extend(&bytes);
         let _ = decode::<PeerMessage<'_>>(&framed);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_peer_without_news_is_asked_long_before_it_is_forgotten() {
+fn digest_is_requested_long_before_a_peer_expires() {
     let mut peers = PeerTable::new(OWN, []);
     assert!(peers.is_due(address(1), 0));
     peers.heard(&digest(address(1), false), 0);
@@ -199,10 +199,10 @@
 }
 
 proptest! {
-    /// Whatever the bounds, a reader that fails right after it confirmed is replaced
-    /// and the change known with time to spare, however many balancers there are.
+    /// For any bounds and any number of balancers, a reader that fails right after a confirmation
+    /// is replaced, and the change is known, with time to spare.
     #[test]
-    fn the_last_balancer_reads_within_the_bounds(
+    fn last_balancer_reads_within_the_bounds(
         change_ms in 500..60_000u64,
         drain_ms in 500..60_000u64,
         renewal_ms in 100..10_000u64,
@@ -212,7 +212,7 @@
         let age_ms = Some(change_ms.min(drain_ms) * 7 / 10);
         let failed = ReaderInputs { age_ms, rank, ..inputs() };
         prop_assert!(should_read(&failed, &timing));
-        // A working reader, whose watch confirms once a wait, is never doubled.
+        // A working reader, whose watch confirms once per wait, is not joined by a second one.
         let age_ms = Some(timing.watch_wait_ms + timing.watch_wait_ms / 4);
         let working = ReaderInputs { age_ms, rank, ..inputs() };
         prop_assert!(!should_read(&working, &timing));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn only_serving_peers_heard_lately_tell_whether_others_keep_up() {
+fn only_recently_seen_serving_peers_report_overload() {
     let mut table = PeerTable::new(address(9), []);
     let overloaded = |peer, overloaded| Digest { overloaded, ..digest(address(peer), false) };
     table.heard(&overloaded(1, true), 100);
@@ -229,14 +229,15 @@
     table.heard(&overloaded(3, true), 1_000);
     table.heard(&Digest { stopping: true, ..digest(address(4), false) }, 1_000);
     table.heard(&Digest { configuration: None, ..digest(address(5), false) }, 1_000);
-    let heard_lately = table.serving().filter(|peer| peer.was_heard_within(700, 1_200));
-    let overloads: Vec<_> = heard_lately.map(|peer| (peer.address, peer.overloaded)).collect();
-    assert_eq!(overloads, [(address(2), false), (address(3), true)]);
+    let recently_seen = table.serving().filter(|peer| peer.was_heard_within(700, 1_200));
+    let reports: Vec<_> = recently_seen.map(|peer| (peer.address, peer.overloaded)).collect();
+    assert_eq!(reports, [(address(2), false), (address(3), true)]);
 }
 
-/// A fleet that wrongly took old knowledge for fresh once read nothing for 15 seconds.
+/// Without verification reads, a fleet that wrongly considered old state fresh did not read the
+/// store for 15 seconds.
 #[test]
-fn about_one_balancer_in_ten_seconds_checks_whatever_the_size() {
+fn one_verification_read_in_ten_seconds_for_any_fleet_size() {
     for balancers in [4_usize, 91, 1_000] {
         let mut schedules = vec![CheckSchedule::default(); balancers];
         let (mut checks, mut random) = (0, 1_u64);
@@ -251,35 +252,41 @@
                 checks += u32::from(schedule.is_due(now, balancers, fraction));
             }
         }
-        assert!((30..120).contains(&checks), "{checks} checks of {balancers} in ten minutes");
+        assert!(
+            (30..120).contains(&checks),
+            "{checks} verification reads of {balancers} balancers in ten minutes"
+        );
     }
 }
 
 #[test]
-fn a_balancer_whose_turn_it_is_reads_though_all_seems_fresh() {
+fn due_verification_read_happens_despite_fresh_state() {
     let fresh = ReaderInputs { age_ms: Some(100), lower_reader: true, ..inputs() };
     assert!(!should_read(&fresh, &Timing::default()));
     assert!(should_read(&ReaderInputs { checks: true, ..fresh }, &Timing::default()));
 }
 
 #[test]
-fn the_first_calls_after_a_failure_follow_soon() {
+fn first_retries_follow_soon() {
     for balancers in [1, 19, 1_000] {
         let waits = [1, 2].map(|failures| wait_after_failure(failures, balancers, 0.5));
         assert_eq!(waits, [60, 120]);
     }
 }
 
-/// All balancers of the largest fleet played once called a store that was down about once
-/// a second each: 1,147 calls on one day.
+/// Without a backoff that depends on the number of balancers, each one called a failed store about
+/// once a second: 1,147 calls on one day in the largest simulated fleet.
 #[test]
-fn a_store_that_is_down_is_called_about_ten_times_a_second() {
-    let fractions = (0..100).map(|place| f64::from(place) / 100.0);
-    for (balancers, most) in [(1, 12.0), (19, 11.0), (91, 20.0), (1_000, 205.0)] {
+fn failed_store_is_called_about_ten_times_per_second() {
+    let fractions = (0..100).map(|step| f64::from(step) / 100.0);
+    for (balancers, limit) in [(1, 12.0), (19, 11.0), (91, 20.0), (1_000, 205.0)] {
         let waits = fractions.clone().map(|fraction| wait_after_failure(5, balancers, fraction));
         let mean = waits.sum::<Millis>() as f64 / 100.0;
-        let calls_a_second = balancers as f64 * 1_000.0 / mean;
-        assert!(calls_a_second <= most, "{balancers} balancers: {calls_a_second}");
+        let calls_per_second = balancers as f64 * 1_000.0 / mean;
+        assert!(
+            calls_per_second <= limit,
+            "{balancers} balancers: {calls_per_second} calls per second"
+        );
         assert!(mean <= 5_000.0);
     }
 }
--- a/crates/fleet/tests/replica.rs
+++ b/crates/fleet/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: monotonic under reordered, repeated, stale and partial sources.
+//! The replica is monotonic under reordered, repeated, stale and partial updates.
 
 use proptest::prelude::*;
 use weirhinge_fleet::{
@@ -10,7 +10,7 @@
     Position::new(0, revision)
 }
 
-/// A request of a peer that knows no configuration.
+/// A fetch request of a peer that has no configuration.
 fn after(revision: u64) -> FetchRequest {
     FetchRequest { after: at(revision), configuration: None, scope: FetchScope::All }
 }
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn older_configuration_is_ignored() {
     let mut replica = Replica::new();
     let with = |configuration, through| Update {
         configuration: Some(configuration),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_removed_target_does_not_come_back_by_an_older_report() {
+fn older_report_does_not_restore_a_removed_target() {
     let mut replica = Replica::new();
     replica.apply(listing(3, vec![target("x", 3, Some(TargetState::Ready))]), 0);
     replica.apply(events(3, 5, vec![target("x", 5, None)]), 1);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_removal_keeps_the_last_record() {
+fn removal_keeps_the_last_record() {
     let mut replica = Replica::new();
     replica.apply(listing(3, vec![target("x", 3, Some(TargetState::Ready))]), 0);
     let changes = replica.apply(events(3, 5, vec![target("x", 5, None)]), 1);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn what_a_complete_list_lacks_is_gone_unless_it_is_newer_than_the_list() {
+fn listing_removes_missing_targets_unless_newer() {
     let mut replica = Replica::new();
     let known = vec![
         target("old", 3, Some(TargetState::Ready)),
@@ -108,17 +108,17 @@
 }
 
 #[test]
-fn a_gap_in_what_is_known_does_not_advance_the_revision() {
+fn gap_does_not_advance_the_revision() {
     let mut replica = Replica::new();
     replica.apply(listing(3, Vec::new()), 0);
     replica.apply(events(5, 9, vec![target("x", 8, Some(TargetState::Ready))]), 1);
     assert_eq!(replica.position().revision, 3);
-    // The entry itself counts all the same.
+    // The entry itself is applied nevertheless.
     assert_eq!(present(&replica), vec![("x".to_owned(), 8)]);
 }
 
 #[test]
-fn only_the_known_revision_or_a_newer_one_confirms() {
+fn only_the_known_or_a_newer_revision_confirms() {
     let mut replica = Replica::new();
     replica.apply(listing(7, Vec::new()), 1_000);
     assert_eq!(replica.age(1_500), Some(500));
@@ -126,13 +126,13 @@
     assert_eq!(replica.age(1_500), Some(500));
     replica.confirm(at(7), 100, 1_500);
     assert_eq!(replica.age(1_500), Some(100));
-    // An older confirmation does not make it older.
+    // An older confirmation does not increase the age.
     replica.confirm(at(7), 900, 1_500);
     assert_eq!(replica.age(1_500), Some(100));
 }
 
 #[test]
-fn a_peer_that_is_behind_gets_the_difference() {
+fn peer_behind_gets_the_difference() {
     let mut replica = Replica::new();
     let targets =
         vec![target("x", 3, Some(TargetState::Ready)), target("y", 4, Some(TargetState::Ready))];
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_peer_from_before_forgotten_removals_gets_everything() {
+fn peer_before_forgotten_removals_gets_a_complete_update() {
     let mut replica = Replica::new();
     replica.apply(listing(3, vec![target("x", 3, Some(TargetState::Ready))]), 0);
     replica.apply(events(3, 5, vec![target("x", 5, None)]), 0);
@@ -155,10 +155,10 @@
     assert!(!replica.update_for(&after(5), 200_000).complete);
 }
 
-/// A daemon that started with a listing once gave differences from before it. They lacked
-/// the removals that it had never heard of, and the peer kept those targets for good.
+/// A daemon that started with a listing does not know the removals before it. If it answered with
+/// differences from an earlier position, the peer would keep those targets for ever.
 #[test]
-fn a_peer_from_before_a_first_listing_gets_everything() {
+fn peer_before_the_first_listing_gets_a_complete_update() {
     let mut behind = Replica::new();
     behind.apply(listing(3, vec![target("x", 3, Some(TargetState::Ready))]), 0);
     let mut started = Replica::new();
@@ -168,23 +168,27 @@
 }
 
 #[test]
-fn a_peer_that_stands_in_a_gap_gets_everything() {
+fn peer_in_a_gap_gets_a_complete_update() {
     let mut reader = Replica::new();
     reader.apply(listing(3, Vec::new()), 0);
     reader.apply(listing(9, Vec::new()), 0);
-    assert!(reader.update_for(&after(5), 0).complete, "what came and went is not known");
+    assert!(
+        reader.update_for(&after(5), 0).complete,
+        "targets added and removed in between are unknown"
+    );
     assert!(reader.update_for(&after(3), 0).complete);
     assert!(!reader.update_for(&after(9), 0).complete);
-    // However many listings follow, nobody in an earlier gap is told too little.
+    // Peers in an earlier gap get a complete update after any number of further listings.
     for through in 10..30 {
         reader.apply(listing(2 * through, Vec::new()), 0);
     }
     assert!(reader.update_for(&after(5), 0).complete);
 }
 
-/// A difference that a peer put together from a listing is none for those behind it.
+/// A difference that a peer derived from a listing may lack removals, and so is not passed on as a
+/// difference.
 #[test]
-fn a_gap_is_passed_on_with_differences() {
+fn gap_is_passed_on_with_differences() {
     let mut reader = Replica::new();
     reader.apply(listing(1, Vec::new()), 0);
     let mut second = reader.clone();
@@ -211,8 +215,7 @@
 }
 
 proptest! {
-    /// Whatever order and repetition the changes come in, the replica ends where
-    /// the store is.
+    /// The replica converges to the store's state for any order and repetition of changes.
     #[test]
     fn reordered_and_repeated_changes_converge(
         history in any_history(),
@@ -233,9 +236,9 @@
         prop_assert_eq!(replica.position().revision, last);
     }
 
-    /// A replica that follows another by differences ends equal to it.
+    /// A replica that follows another one by differences ends in the same state.
     #[test]
-    fn differences_carry_everything(history in any_history(), cut in any::<prop::sample::Index>()) {
+    fn follower_converges_by_differences(history in any_history(), cut in any::<prop::sample::Index>()) {
         let cut = cut.index(history.len());
         let mut leader = Replica::new();
         let mut follower = Replica::new();
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn a_machine_gets_the_configuration_and_its_own_targets() {
+fn machine_scope_covers_configuration_and_own_targets() {
     let mut replica = Replica::new();
     let mut own = target("own", 4, Some(TargetState::Ready));
     own.record = Some(record(9, TargetState::Ready));
@@ -261,15 +264,15 @@
     let update = Update { configuration: Some(configuration(2, 31)), ..listing(4, targets) };
     replica.apply(update, 0);
     let own = FetchRequest { scope: FetchScope::Machine(9), ..after(0) };
-    let mut beside = Replica::new();
-    beside.apply(replica.update_for(&own, 0), 0);
-    assert_eq!(present(&beside), vec![("own".to_owned(), 4)]);
-    assert_eq!(beside.configuration().map(|known| known.configuration.version), Some(31));
+    let mut agent = Replica::new();
+    agent.apply(replica.update_for(&own, 0), 0);
+    assert_eq!(present(&agent), vec![("own".to_owned(), 4)]);
+    assert_eq!(agent.configuration().map(|known| known.configuration.version), Some(31));
 }
 
-/// What an agent gives must not be taken for the store's whole word.
+/// An agent's update must not be mistaken for the complete state of the store.
 #[test]
-fn a_configuration_alone_says_nothing_about_targets_or_freshness() {
+fn configuration_only_update_has_no_position_or_age() {
     let mut replica = Replica::new();
     let update = Update { configuration: Some(configuration(2, 31)), ..listing(4, Vec::new()) };
     replica.apply(update, 0);
@@ -279,22 +282,22 @@
     assert_eq!((restarted.position(), restarted.age(10)), (at(0), None));
 }
 
-/// A process that runs for 100 ms and learns of a confirmation 680 ms ago once counted
-/// it from its own start, and told its peers that it was 100 ms old. With a new agent
-/// every 600 ms the fleet held one old revision for fresh, and nobody read the store.
+/// A process that had run for 100 ms and learned of a confirmation 680 ms old limited its age to
+/// its own uptime and reported 100 ms to its peers. With a new agent every 600 ms the whole fleet
+/// considered one old revision fresh, and no balancer read the store.
 #[test]
-fn a_confirmation_from_before_the_start_keeps_its_age() {
+fn confirmation_from_before_the_start_keeps_its_age() {
     let mut replica = Replica::new();
     replica.apply(Update { age_ms: 680, ..listing(347, Vec::new()) }, 100);
     assert_eq!(replica.age(100), Some(680));
     assert_eq!(replica.age(400), Some(980));
     assert_eq!(replica.update_for(&after(347), 400).age_ms, 980);
     replica.confirm(at(347), 700, 400);
-    assert_eq!(replica.age(400), Some(700), "a fresher word counts");
+    assert_eq!(replica.age(400), Some(700), "a more recent confirmation wins");
 }
 
 #[test]
-fn a_confirmation_of_unknown_age_is_never_fresh() {
+fn confirmation_of_unknown_age_is_never_fresh() {
     let mut replica = Replica::new();
     replica.apply(Update { age_ms: u64::MAX, ..listing(5, Vec::new()) }, 50);
     assert!(replica.age(60).is_some_and(|age| age > 1_000_000_000));
@@ -303,7 +306,7 @@
 }
 
 #[test]
-fn an_update_ages_on_its_way() {
+fn update_ages_in_transit() {
     let update = Update { age_ms: 108, ..listing(5, Vec::new()) };
     assert_eq!(update.delayed_by(600).age_ms, 708);
     let unknown = Update { age_ms: u64::MAX, ..listing(5, Vec::new()) };
--- a/crates/fleet/tests/store_model/daemons.rs
+++ b/crates/fleet/tests/store_model/daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons under test, and what must hold for them after every step.
+//! The daemons under test, and the invariants checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,49 +10,54 @@
 
 use crate::world::{DAEMONS, Entry, Event, Step, World, ZONES};
 
-/// How long the word of a new era is not taken against what was known.
+/// Hold period of a new era.
 const HOLD_MS: u64 = 2_475;
-/// Time after the last fault in which all daemons agree with what was acknowledged: a target
-/// writes again, the store drops silent ones, and the hold ends.
-const AGREES_WITHIN_MS: u64 = 8_000;
+/// Time after the last fault within which all daemons agree with the acknowledged state: targets
+/// write again, the store drops unresponsive ones, and the hold period ends.
+const CONVERGENCE_TIME_MS: u64 = 8_000;
 
-/// A fault planted in what daemons are told, which the model has to find.
+/// A fault injected into the daemons' input, which the model must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     None,
-    /// Revisions alone order everything: nobody tells the era.
+    /// Entries are ordered by revision only; eras are not reported.
     IgnoresEra,
-    /// The newer era is taken at its word at once.
-    BelievesCopies,
-    /// Nobody tells which life of a target a record is about.
-    IgnoresLives,
+    /// A newer era overrides the known state at once.
+    AcceptsBackups,
+    /// Records do not report their target's incarnation.
+    IgnoresIncarnations,
 }
 
-/// What a daemon once believed in its present life, and must not unlearn.
+/// The state that a daemon has had since its start and must not lose.
 #[derive(Clone, Debug, Default)]
-struct Memory {
+struct Observed {
     version: Option<u64>,
-    /// Lives that were known to drain.
-    drained: BTreeSet<(String, u64)>,
-    /// The latest life believed of each target, by its place in the order of all lives, with
-    /// the era in which it was believed.
+    /// Incarnations that were known to be draining.
+    draining: BTreeSet<(String, u64)>,
+    /// The latest known incarnation of each target, by its index in the order of all incarnations,
+    /// with the era in which it was known.
     latest: BTreeMap<String, (u64, usize)>,
-    /// Evacuated zones, each with the order that was in force when it was first believed.
+    /// Evacuated zones, each with the number of the evacuation that was in effect when the daemon
+    /// first knew of it.
     zones: BTreeMap<u8, Option<u64>>,
-    /// Living targets that were present after the step before this one.
+    /// Live targets that were present after the previous step.
     present: BTreeSet<(u8, u64)>,
 }
 
 #[derive(Clone, Debug)]
 struct Daemon {
     replica: Replica,
-    memory: Memory,
-    heard_of_era_at: u64,
+    observed: Observed,
+    era_learned_at: u64,
 }
 
 impl Daemon {
     fn new() -> Self {
-        Self { replica: Replica::with_hold(HOLD_MS), memory: Memory::default(), heard_of_era_at: 0 }
+        Self {
+            replica: Replica::with_hold(HOLD_MS),
+            observed: Observed::default(),
+            era_learned_at: 0,
+        }
     }
 }
 
@@ -62,7 +67,7 @@
     mutation: Mutation,
 }
 
-fn name(id: u8) -> String {
+fn target_id(id: u8) -> String {
     format!("target-{id}")
 }
 
@@ -70,22 +75,22 @@
     format!("zone-{zone}")
 }
 
-/// What a daemon believes of a target that the store has.
-type Belief = (Option<u64>, TargetState);
+/// The incarnation and state that a daemon knows of a target in the store.
+type KnownTarget = (Option<u64>, TargetState);
 
-/// The era in which the store stated what a daemon believes of a target.
-fn stated_in(replica: &Replica, id: &str) -> u64 {
+/// Returns the era in which the store reported the known state of a target.
+fn source_era(replica: &Replica, id: &str) -> u64 {
     let entry = replica.targets().find(|entry| entry.target.id == id);
     entry.map_or(0, |entry| entry.target.position.era)
 }
 
-fn beliefs(replica: &Replica) -> BTreeMap<String, Belief> {
+fn known_targets(replica: &Replica) -> BTreeMap<String, KnownTarget> {
     let present = replica.targets().filter(|entry| entry.target.present);
-    let believed = present.filter_map(|entry| {
+    let known = present.filter_map(|entry| {
         let record = entry.target.record.as_ref()?;
         Some((entry.target.id.clone(), (record.incarnation, record.state)))
     });
-    believed.collect()
+    known.collect()
 }
 
 impl Fleet {
@@ -100,23 +105,24 @@
 
     fn target(&self, world: &World, id: u8, revision: u64, entry: &Entry) -> VersionedTarget {
         let record = match entry {
-            Entry::Record { born, sequence, state } => Some(TargetRecord {
+            Entry::Record { started_at, sequence, state } => Some(TargetRecord {
                 service: "sheets".to_owned(),
                 address: u32::from(id),
                 zone: zone_name(id % 2),
                 slots: 5,
                 state: *state,
                 warm_up_ms: 0,
-                incarnation: (self.mutation != Mutation::IgnoresLives).then_some(*born),
+                incarnation: (self.mutation != Mutation::IgnoresIncarnations)
+                    .then_some(*started_at),
                 sequence: *sequence,
             }),
-            Entry::Foreign | Entry::Gone => None,
+            Entry::Foreign | Entry::Removed => None,
         };
         let position = self.position(world, revision);
-        VersionedTarget { id: name(id), position, present: record.is_some(), record }
+        VersionedTarget { id: target_id(id), position, present: record.is_some(), record }
     }
 
-    /// What the store answers to a daemon: the changes since it last read, or all.
+    /// Returns the store's answer to a daemon: the changes since its last read, or a listing.
     fn answer(&self, world: &World, known: Position) -> Update {
         let through = self.position(world, world.store.revision);
         let is_same_history = known.era == through.era && world.store.has_history(known.revision);
@@ -163,28 +169,28 @@
         update
     }
 
-    fn read(&mut self, world: &World, place: usize) {
-        if world.no_store[place] {
+    fn read(&mut self, world: &World, index: usize) {
+        if world.is_cut_from_store[index] {
             return;
         }
-        let update = self.answer(world, self.daemons[place].replica.position());
-        let believes = self.mutation == Mutation::BelievesCopies;
-        let daemon = &mut self.daemons[place];
-        if believes && update.through.era > daemon.replica.position().era {
+        let update = self.answer(world, self.daemons[index].replica.position());
+        let accepts_backups = self.mutation == Mutation::AcceptsBackups;
+        let daemon = &mut self.daemons[index];
+        if accepts_backups && update.through.era > daemon.replica.position().era {
             daemon.replica = Replica::with_hold(0);
         }
-        daemon.learn(update.through.era, world.now);
+        daemon.learn_era(update.through.era, world.now);
         daemon.replica.apply(update, world.now);
     }
 
-    /// A digest of another daemon comes, and a fetch follows if it tells of news.
+    /// Delivers a digest from another daemon, followed by a fetch if the digest shows newer state.
     fn fetch(&mut self, world: &World, to: usize, from: usize) {
-        if to == from || world.no_peers[to] || world.no_peers[from] {
+        if to == from || world.is_cut_from_peers[to] || world.is_cut_from_peers[from] {
             return;
         }
         let peer = self.daemons[from].replica.clone();
         let daemon = &mut self.daemons[to];
-        daemon.learn(peer.position().era, world.now);
+        daemon.learn_era(peer.position().era, world.now);
         daemon.replica.learn_evacuated(peer.stored_zones(), world.now);
         let known = daemon.replica.position();
         if let Some(age_ms) = peer.age(world.now).filter(|_| peer.position() == known) {
@@ -203,136 +209,146 @@
         }
     }
 
-    /// After the last fault: one daemon reads, the others follow each other.
-    fn come_to_terms(&mut self, mut world: World) {
-        world.no_store = [false; DAEMONS];
-        world.no_peers = [false; DAEMONS];
-        for _ in 0..AGREES_WITHIN_MS / 500 {
+    /// Checks that all daemons converge after the last fault, while one daemon reads the store and
+    /// the others follow each other.
+    fn converge(&mut self, mut world: World) {
+        world.is_cut_from_store = [false; DAEMONS];
+        world.is_cut_from_peers = [false; DAEMONS];
+        for _ in 0..CONVERGENCE_TIME_MS / 500 {
             world = World::apply(world, &Step::Pass(500));
             self.settle(world.now);
             self.read(&world, 0);
-            for place in 1..DAEMONS {
-                self.fetch(&world, place, place - 1);
-                self.fetch(&world, place - 1, place);
+            for index in 1..DAEMONS {
+                self.fetch(&world, index, index - 1);
+                self.fetch(&world, index - 1, index);
             }
         }
-        let living = world.targets.iter().filter(|(_, life)| life.is_alive);
-        let expected: BTreeMap<String, Belief> =
-            living.map(|(id, life)| (name(*id), (Some(life.born), life.state))).collect();
+        let live = world.targets.iter().filter(|(_, target)| target.is_alive);
+        let expected: BTreeMap<String, KnownTarget> = live
+            .map(|(id, target)| (target_id(*id), (Some(target.started_at), target.state)))
+            .collect();
         let zones: Vec<String> = world.zones.keys().map(|zone| zone_name(*zone)).collect();
-        for (place, daemon) in self.daemons.iter().enumerate() {
-            assert_eq!(beliefs(&daemon.replica), expected, "targets of daemon {place}");
+        for (index, daemon) in self.daemons.iter().enumerate() {
+            assert_eq!(known_targets(&daemon.replica), expected, "targets of daemon {index}");
             let evacuated: Vec<&str> = daemon.replica.evacuated().iter().collect();
-            assert_eq!(evacuated, zones, "zones of daemon {place}");
+            assert_eq!(evacuated, zones, "zones of daemon {index}");
             let version = (world.version > 0).then_some(world.version);
-            assert_eq!(daemon.replica.version(), version, "version of daemon {place}");
+            assert_eq!(daemon.replica.version(), version, "version of daemon {index}");
         }
     }
 
     fn check(&mut self, world: &World) {
-        for (place, daemon) in self.daemons.iter_mut().enumerate() {
-            daemon.check_version(place);
-            daemon.check_targets(place, world);
-            daemon.check_kept(place, world);
+        for (index, daemon) in self.daemons.iter_mut().enumerate() {
+            daemon.check_version(index);
+            daemon.check_targets(index, world);
+            daemon.check_hold(index, world);
         }
     }
 }
 
 impl Daemon {
-    fn learn(&mut self, era: u64, now: u64) {
+    fn learn_era(&mut self, era: u64, now: u64) {
         if self.replica.learn_era(era, now) {
-            self.heard_of_era_at = now;
+            self.era_learned_at = now;
         }
     }
 
     fn is_holding(&self, now: u64) -> bool {
-        self.replica.newest_era() > 0 && now < self.heard_of_era_at + HOLD_MS
+        self.replica.newest_era() > 0 && now < self.era_learned_at + HOLD_MS
     }
 
-    /// A copy undoes no evacuation, and takes no living target away, before the operator and
-    /// the targets had time to write again.
-    fn check_kept(&mut self, place: usize, world: &World) {
+    /// A restore ends no evacuation and removes no live target before the operator and the targets
+    /// had time to write again.
+    fn check_hold(&mut self, index: usize, world: &World) {
         let evacuated = |zone: &u8| self.replica.evacuated().contains(&zone_name(*zone));
-        let believed = beliefs(&self.replica);
-        let is_present = |id: u8, born: u64| {
-            believed.get(&name(id)).is_some_and(|(incarnation, _)| *incarnation == Some(born))
+        let known = known_targets(&self.replica);
+        let is_present = |id: u8, started_at: u64| {
+            known
+                .get(&target_id(id))
+                .is_some_and(|(incarnation, _)| *incarnation == Some(started_at))
         };
-        let living = world.targets.iter().filter(|(id, life)| {
-            life.is_alive && !world.overwritten.contains(id) && is_present(**id, life.born)
+        let live = world.targets.iter().filter(|(id, target)| {
+            target.is_alive
+                && !world.overwritten.contains(id)
+                && is_present(**id, target.started_at)
         });
-        let present: BTreeSet<(u8, u64)> = living.map(|(id, life)| (*id, life.born)).collect();
+        let present: BTreeSet<(u8, u64)> =
+            live.map(|(id, target)| (*id, target.started_at)).collect();
         if self.is_holding(world.now) {
-            let in_force = |(zone, order): &(&u8, &Option<u64>)| {
+            let is_in_effect = |(zone, order): &(&u8, &Option<u64>)| {
                 order.is_some() && world.zones.get(zone) == order.as_ref()
             };
-            let undone = |(zone, _): &(&u8, &Option<u64>)| !evacuated(zone);
-            let lost = self.memory.zones.iter().filter(in_force).find(undone);
-            assert_eq!(lost, None, "daemon {place} undid an evacuation");
-            let is_alive = |(id, born): &&(u8, u64)| {
-                let life = world.targets.get(id).filter(|life| life.is_alive);
-                life.is_some_and(|life| life.born == *born) && !world.overwritten.contains(id)
+            let is_missing = |(zone, _): &(&u8, &Option<u64>)| !evacuated(zone);
+            let lost = self.observed.zones.iter().filter(is_in_effect).find(is_missing);
+            assert_eq!(lost, None, "daemon {index} ended an evacuation");
+            let is_alive = |(id, started_at): &&(u8, u64)| {
+                let target = world.targets.get(id).filter(|target| target.is_alive);
+                target.is_some_and(|target| target.started_at == *started_at)
+                    && !world.overwritten.contains(id)
             };
-            let lost = self.memory.present.difference(&present).find(is_alive);
-            assert_eq!(lost, None, "daemon {place} lost a living target");
+            let lost = self.observed.present.difference(&present).find(is_alive);
+            assert_eq!(lost, None, "daemon {index} lost a live target");
         }
         for zone in 0..ZONES {
             if evacuated(&zone) {
                 let order = world.zones.get(&zone).copied();
-                self.memory.zones.entry(zone).or_insert(order);
+                self.observed.zones.entry(zone).or_insert(order);
             } else {
-                self.memory.zones.remove(&zone);
+                self.observed.zones.remove(&zone);
             }
         }
-        self.memory.present = present;
+        self.observed.present = present;
     }
 
-    /// A version in force never goes back.
-    fn check_version(&mut self, place: usize) {
+    /// The configuration version never decreases.
+    fn check_version(&mut self, index: usize) {
         let version = self.replica.version();
-        assert!(version >= self.memory.version, "daemon {place} went back to {version:?}");
-        self.memory.version = version;
+        assert!(version >= self.observed.version, "daemon {index} reverted to version {version:?}");
+        self.observed.version = version;
     }
 
-    fn check_targets(&mut self, place: usize, world: &World) {
-        for (id, (incarnation, state)) in beliefs(&self.replica) {
-            let Some(born) = incarnation else { continue };
-            let life = (id.clone(), born);
+    fn check_targets(&mut self, index: usize, world: &World) {
+        for (id, (incarnation, state)) in known_targets(&self.replica) {
+            let Some(started_at) = incarnation else { continue };
+            let key = (id.clone(), started_at);
             if state == TargetState::Draining {
-                self.memory.drained.insert(life);
+                self.observed.draining.insert(key);
             } else {
-                let was = self.memory.drained.contains(&life);
-                assert!(!was, "daemon {place} takes {id}, which drains, for ready");
+                let was_draining = self.observed.draining.contains(&key);
+                assert!(!was_draining, "daemon {index}: draining target {id} became ready");
             }
-            self.check_life(place, world, id, born);
+            self.check_incarnation(index, world, id, started_at);
         }
     }
 
-    /// A life that another one followed within one era is not brought back.
-    fn check_life(&mut self, place: usize, world: &World, id: String, born: u64) {
-        let era = stated_in(&self.replica, &id);
-        let order =
-            world.lives.iter().position(|(other, began)| name(*other) == id && *began == born);
+    /// An incarnation that was followed by another one within one era does not return.
+    fn check_incarnation(&mut self, index: usize, world: &World, id: String, started_at: u64) {
+        let era = source_era(&self.replica, &id);
+        let order = world
+            .incarnations
+            .iter()
+            .position(|(other, start)| target_id(*other) == id && *start == started_at);
         let Some(order) = order else { return };
-        let known = self.memory.latest.get(&id).copied();
+        let known = self.observed.latest.get(&id).copied();
         if let Some((known_era, latest)) = known.filter(|(_, latest)| *latest > order) {
-            // The daemon may have learned of the later one in another era alone: then the
-            // store's word counts when the hold is over.
+            // The daemon may have learned of the later incarnation only in another era. Then the
+            // store's state wins after the hold period.
             let is_held = self.is_holding(world.now);
             assert!(
                 known_era != era && !is_held,
-                "daemon {place}: {id} is life {latest}, not {order}"
+                "daemon {index}: {id} is incarnation {latest}, not {order}"
             );
         }
-        self.memory.latest.insert(id, (era, order));
+        self.observed.latest.insert(id, (era, order));
     }
 }
 
-/// The model with one fault planted, or none.
+/// The model with one injected fault, or none.
 pub struct Model<const MUTATION: usize>;
 
-/// The mutations by their place, for [`Model`].
+/// The mutations, indexed by the parameter of [`Model`].
 pub const MUTATIONS: [Mutation; 4] =
-    [Mutation::None, Mutation::IgnoresEra, Mutation::BelievesCopies, Mutation::IgnoresLives];
+    [Mutation::None, Mutation::IgnoresEra, Mutation::AcceptsBackups, Mutation::IgnoresIncarnations];
 
 impl<const MUTATION: usize> StateMachineTest for Model<MUTATION> {
     type SystemUnderTest = Fleet;
@@ -344,9 +360,9 @@
 
     fn apply(mut fleet: Fleet, world: &World, step: Step) -> Fleet {
         match step {
-            Step::Read(place) => fleet.read(world, place),
+            Step::Read(index) => fleet.read(world, index),
             Step::Fetch(to, from) => fleet.fetch(world, to, from),
-            Step::RestartDaemon(place) => fleet.daemons[place] = Daemon::new(),
+            Step::RestartDaemon(index) => fleet.daemons[index] = Daemon::new(),
             _ => {}
         }
         fleet.settle(world.now);
@@ -355,6 +371,6 @@
     }
 
     fn teardown(mut fleet: Fleet, world: World) {
-        fleet.come_to_terms(world);
+        fleet.converge(world);
     }
 }
--- a/crates/fleet/tests/store_model/world.rs
+++ b/crates/fleet/tests/store_model/world.rs
@@ -1,5 +1,6 @@
-//! The reference: a store that forgets, restarts from copies and holds what others wrote;
-//! targets and an operator that write again; and what was acknowledged.
+//! The reference model: a store that compacts its history, is restored from backups and contains
+//! foreign entries; targets and an operator that write again after a restore; and the acknowledged
+//! state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +10,35 @@
 
 /// Time between a target's writes.
 const HEARTBEAT_MS: u64 = 1_100;
-/// Silence after which the store drops a target's entry.
-const LAPSE_MS: u64 = 3 * HEARTBEAT_MS;
-/// Time after a restart of the store in which the operator writes again.
-const REWRITE_MS: u64 = 300;
-/// Steps in which time passes.
+/// Time without a write after which the store drops a target's entry.
+const EXPIRY_MS: u64 = 3 * HEARTBEAT_MS;
+/// Time after a restore of the store at which the operator writes again.
+const OPERATOR_REWRITE_DELAY_MS: u64 = 300;
+/// Granularity of simulated time.
 const STEP_MS: u64 = 100;
-/// First start of any target, on its own clock.
-const FIRST_BORN: u64 = 1_000_000;
-/// Daemons, targets and zones there are.
+/// Base of the targets' start times, on their own clocks.
+const FIRST_START: u64 = 1_000_000;
+/// Numbers of daemons, targets and zones.
 pub const DAEMONS: usize = 5;
 const TARGETS: u8 = 4;
 pub const ZONES: u8 = 2;
 
-/// One thing that happens.
+/// One transition of the model.
 #[derive(Clone, Debug)]
 pub enum Step {
     Pass(u64),
     Configure,
     Evacuate(u8),
-    TakeBack(u8),
+    EndEvacuation(u8),
     Start(u8),
     Drain(u8),
     Leave(u8),
     Crash(u8),
-    /// A target starts again under its identifier; its clock may have been set back.
+    /// A target restarts under its identifier; its clock may have been set back.
     Restart(u8, bool),
     Foreign(u8),
     Compact,
-    Copy,
+    Backup,
     Restore,
     Read(usize),
     Fetch(usize, usize),
@@ -46,17 +47,17 @@
     CutFromPeers(usize, bool),
 }
 
-/// What stands under a target's key.
+/// The entry under a target's key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     Record {
-        born: u64,
+        started_at: u64,
         sequence: u64,
         state: TargetState,
     },
-    /// Another writer's, which names no target.
+    /// An entry of another writer, which describes no target.
     Foreign,
-    Gone,
+    Removed,
 }
 
 #[derive(Clone, Debug)]
@@ -73,7 +74,7 @@
     written_at: u64,
 }
 
-/// What the store holds.
+/// The contents of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Contents {
     pub revision: u64,
@@ -81,40 +82,41 @@
     items: BTreeMap<u8, Item>,
     zones: BTreeMap<u8, u64>,
     events: Vec<(u64, Event)>,
-    forgotten: u64,
+    compacted_through: u64,
 }
 
-/// What a target is in truth.
+/// The actual state of the latest incarnation of a target.
 #[derive(Clone, Debug)]
-pub struct Life {
-    pub born: u64,
+pub struct SimulatedTarget {
+    pub started_at: u64,
     pub sequence: u64,
     pub state: TargetState,
     pub is_alive: bool,
     next_write_at: u64,
 }
 
-/// All that happened so far.
+/// The state of the world.
 #[derive(Clone, Debug, Default)]
 pub struct World {
     pub now: u64,
     pub era: u64,
     pub store: Contents,
-    copy: Option<Contents>,
+    backup: Option<Contents>,
     restored_at: Option<u64>,
-    /// The version acknowledged last.
+    /// The configuration version acknowledged last.
     pub version: u64,
-    /// Zones evacuated by what was acknowledged last, each with the number of that order.
+    /// Zones evacuated according to the last acknowledged writes, each with the number of its
+    /// evacuation.
     pub zones: BTreeMap<u8, u64>,
-    orders: u64,
-    pub targets: BTreeMap<u8, Life>,
-    births: u64,
-    /// Targets under whose key another writer wrote.
+    evacuation_count: u64,
+    pub targets: BTreeMap<u8, SimulatedTarget>,
+    start_count: u64,
+    /// Targets whose key was overwritten by another writer.
     pub overwritten: BTreeSet<u8>,
-    /// Each life's identifier and start, in the order in which they began.
-    pub lives: Vec<(u8, u64)>,
-    pub no_store: [bool; DAEMONS],
-    pub no_peers: [bool; DAEMONS],
+    /// Identifier and start time of each incarnation, in the order of their starts.
+    pub incarnations: Vec<(u8, u64)>,
+    pub is_cut_from_store: [bool; DAEMONS],
+    pub is_cut_from_peers: [bool; DAEMONS],
 }
 
 impl Contents {
@@ -122,7 +124,7 @@
         self.revision += 1;
         let revision = self.revision;
         match &event {
-            Event::Target(id, Entry::Gone) => drop(self.items.remove(id)),
+            Event::Target(id, Entry::Removed) => drop(self.items.remove(id)),
             Event::Target(id, entry) => {
                 let item = Item { revision, entry: entry.clone(), written_at: now };
                 self.items.insert(*id, item);
@@ -134,16 +136,16 @@
         self.events.push((revision, event));
     }
 
-    /// Whether a watch from this revision is answered.
+    /// Whether the history needed for a watch from this revision is available.
     pub fn has_history(&self, after: u64) -> bool {
-        (self.forgotten..=self.revision).contains(&after)
+        (self.compacted_through..=self.revision).contains(&after)
     }
 
     pub fn events_after(&self, after: u64) -> impl Iterator<Item = &(u64, Event)> {
         self.events.iter().filter(move |(revision, _)| *revision > after)
     }
 
-    /// The entries that a listing has, each with its revision.
+    /// Returns the entries of a listing, each with its revision.
     pub fn listing(&self) -> impl Iterator<Item = (u64, Event)> {
         let items = self.items.iter();
         let items = items.map(|(id, item)| (item.revision, Event::Target(*id, item.entry.clone())));
@@ -160,39 +162,40 @@
             self.now += STEP_MS;
             let due: Vec<u8> = self.due_targets();
             due.into_iter().for_each(|id| self.write_record(id));
-            self.rewrite();
-            self.drop_silent();
+            self.rewrite_after_restore();
+            self.expire_silent_targets();
         }
     }
 
     fn due_targets(&self) -> Vec<u8> {
-        let due = self.targets.iter().filter(|(_, life)| life.is_alive);
-        due.filter(|(_, life)| life.next_write_at <= self.now).map(|(id, _)| *id).collect()
+        let due = self.targets.iter().filter(|(_, target)| target.is_alive);
+        due.filter(|(_, target)| target.next_write_at <= self.now).map(|(id, _)| *id).collect()
     }
 
-    /// A target writes; the entry changes when more than its sequence does.
+    /// Writes a target's record. The entry gets a new revision only if more than its sequence
+    /// number changed.
     fn write_record(&mut self, id: u8) {
         let now = self.now;
-        let Some(life) = self.targets.get_mut(&id) else { return };
-        life.sequence += 1;
-        life.next_write_at = now + HEARTBEAT_MS;
-        let (born, sequence, state) = (life.born, life.sequence, life.state);
+        let Some(target) = self.targets.get_mut(&id) else { return };
+        target.sequence += 1;
+        target.next_write_at = now + HEARTBEAT_MS;
+        let (started_at, sequence, state) = (target.started_at, target.sequence, target.state);
         let item = self.store.items.get_mut(&id);
-        let same = item.filter(|item| {
-            matches!(&item.entry, Entry::Record { born: known, state: said, .. }
-                if *known == born && *said == state)
+        let unchanged = item.filter(|item| {
+            matches!(&item.entry, Entry::Record { started_at: known_start, state: known_state, .. }
+                if *known_start == started_at && *known_state == state)
         });
-        match same {
+        match unchanged {
             Some(item) => item.written_at = now,
             None => {
-                let entry = Entry::Record { born, sequence, state };
+                let entry = Entry::Record { started_at, sequence, state };
                 self.store.write(Event::Target(id, entry), now);
             }
         }
     }
 
-    fn rewrite(&mut self) {
-        if self.restored_at.is_none_or(|at| self.now < at + REWRITE_MS) {
+    fn rewrite_after_restore(&mut self) {
+        if self.restored_at.is_none_or(|at| self.now < at + OPERATOR_REWRITE_DELAY_MS) {
             return;
         }
         self.restored_at = None;
@@ -209,39 +212,44 @@
         }
     }
 
-    fn drop_silent(&mut self) {
+    fn expire_silent_targets(&mut self) {
         let is_silent =
-            |item: &Item| item.entry != Entry::Foreign && item.written_at + LAPSE_MS <= self.now;
+            |item: &Item| item.entry != Entry::Foreign && item.written_at + EXPIRY_MS <= self.now;
         let silent = self.store.items.iter().filter(|(_, item)| is_silent(item));
         let silent: Vec<u8> = silent.map(|(id, _)| *id).collect();
         for id in silent {
-            self.store.write(Event::Target(id, Entry::Gone), self.now);
+            self.store.write(Event::Target(id, Entry::Removed), self.now);
         }
     }
 
-    fn begin_life(&mut self, id: u8, is_set_back: bool) {
-        self.births += 1;
-        let born = if is_set_back { FIRST_BORN - self.births } else { FIRST_BORN + self.births };
-        self.lives.push((id, born));
+    fn start_target(&mut self, id: u8, is_clock_set_back: bool) {
+        self.start_count += 1;
+        let started_at = if is_clock_set_back {
+            FIRST_START - self.start_count
+        } else {
+            FIRST_START + self.start_count
+        };
+        self.incarnations.push((id, started_at));
         let state = TargetState::Ready;
-        let life = Life { born, sequence: 0, state, is_alive: true, next_write_at: 0 };
-        self.targets.insert(id, life);
+        let target =
+            SimulatedTarget { started_at, sequence: 0, state, is_alive: true, next_write_at: 0 };
+        self.targets.insert(id, target);
         self.write_record(id);
     }
 
     fn is_alive(&self, id: u8) -> bool {
-        self.targets.get(&id).is_some_and(|life| life.is_alive)
+        self.targets.get(&id).is_some_and(|target| target.is_alive)
     }
 
-    fn end_life(&mut self, id: u8) {
-        if let Some(life) = self.targets.get_mut(&id) {
-            life.is_alive = false;
+    fn stop_target(&mut self, id: u8) {
+        if let Some(target) = self.targets.get_mut(&id) {
+            target.is_alive = false;
         }
     }
 
     fn restore(&mut self) {
-        let Some(copy) = self.copy.clone() else { return };
-        self.store = copy;
+        let Some(backup) = self.backup.clone() else { return };
+        self.store = backup;
         self.era += 1;
         self.restored_at = Some(self.now);
         for item in self.store.items.values_mut() {
@@ -266,21 +274,24 @@
             4 => (1..30_u64).prop_map(|steps| Step::Pass(steps * STEP_MS)),
             2 => Just(Step::Configure),
             1 => zone.clone().prop_map(Step::Evacuate),
-            1 => zone.prop_map(Step::TakeBack),
+            1 => zone.prop_map(Step::EndEvacuation),
             2 => target.clone().prop_map(Step::Start),
             1 => target.clone().prop_map(Step::Drain),
             1 => target.clone().prop_map(Step::Leave),
             1 => target.clone().prop_map(Step::Crash),
-            2 => (target.clone(), prop::bool::weighted(0.2)).prop_map(|(id, back)| Step::Restart(id, back)),
+            2 => (target.clone(), prop::bool::weighted(0.2))
+                .prop_map(|(id, is_clock_set_back)| Step::Restart(id, is_clock_set_back)),
             1 => target.prop_map(Step::Foreign),
             1 => Just(Step::Compact),
-            2 => Just(Step::Copy),
+            2 => Just(Step::Backup),
             2 => Just(Step::Restore),
             8 => daemon.clone().prop_map(Step::Read),
             8 => (daemon.clone(), daemon.clone()).prop_map(|(to, from)| Step::Fetch(to, from)),
             1 => daemon.clone().prop_map(Step::RestartDaemon),
-            1 => (daemon.clone(), any::<bool>()).prop_map(|(one, cut)| Step::CutFromStore(one, cut)),
-            1 => (daemon, any::<bool>()).prop_map(|(one, cut)| Step::CutFromPeers(one, cut)),
+            1 => (daemon.clone(), any::<bool>())
+                .prop_map(|(daemon, is_cut)| Step::CutFromStore(daemon, is_cut)),
+            1 => (daemon, any::<bool>())
+                .prop_map(|(daemon, is_cut)| Step::CutFromPeers(daemon, is_cut)),
         ]
         .boxed()
     }
@@ -294,45 +305,45 @@
             }
             Step::Evacuate(zone) => {
                 if !world.zones.contains_key(&zone) {
-                    world.orders += 1;
-                    world.zones.insert(zone, world.orders);
+                    world.evacuation_count += 1;
+                    world.zones.insert(zone, world.evacuation_count);
                     world.store.write(Event::Zone(zone, true), world.now);
                 }
             }
-            Step::TakeBack(zone) => {
+            Step::EndEvacuation(zone) => {
                 if world.zones.remove(&zone).is_some() && world.store.zones.contains_key(&zone) {
                     world.store.write(Event::Zone(zone, false), world.now);
                 }
             }
-            Step::Start(id) if !world.targets.contains_key(&id) => world.begin_life(id, false),
-            Step::Restart(id, is_set_back) if world.targets.contains_key(&id) => {
-                world.begin_life(id, is_set_back);
+            Step::Start(id) if !world.targets.contains_key(&id) => world.start_target(id, false),
+            Step::Restart(id, is_clock_set_back) if world.targets.contains_key(&id) => {
+                world.start_target(id, is_clock_set_back);
             }
             Step::Drain(id) if world.is_alive(id) => {
-                if let Some(life) = world.targets.get_mut(&id) {
-                    life.state = TargetState::Draining;
+                if let Some(target) = world.targets.get_mut(&id) {
+                    target.state = TargetState::Draining;
                 }
                 world.write_record(id);
             }
             Step::Leave(id) if world.is_alive(id) => {
-                world.end_life(id);
+                world.stop_target(id);
                 if world.store.items.contains_key(&id) {
-                    world.store.write(Event::Target(id, Entry::Gone), world.now);
+                    world.store.write(Event::Target(id, Entry::Removed), world.now);
                 }
             }
-            Step::Crash(id) => world.end_life(id),
+            Step::Crash(id) => world.stop_target(id),
             Step::Foreign(id) => {
                 world.overwritten.insert(id);
                 world.store.write(Event::Target(id, Entry::Foreign), world.now);
             }
             Step::Compact => {
-                world.store.forgotten = world.store.revision;
+                world.store.compacted_through = world.store.revision;
                 world.store.events.clear();
             }
-            Step::Copy => world.copy = Some(world.store.clone()),
+            Step::Backup => world.backup = Some(world.store.clone()),
             Step::Restore => world.restore(),
-            Step::CutFromStore(daemon, is_cut) => world.no_store[daemon] = is_cut,
-            Step::CutFromPeers(daemon, is_cut) => world.no_peers[daemon] = is_cut,
+            Step::CutFromStore(daemon, is_cut) => world.is_cut_from_store[daemon] = is_cut,
+            Step::CutFromPeers(daemon, is_cut) => world.is_cut_from_peers[daemon] = is_cut,
             Step::Start(_)
             | Step::Restart(..)
             | Step::Drain(_)
--- a/crates/fleet/tests/target_load.rs
+++ b/crates/fleet/tests/target_load.rs
@@ -1,4 +1,4 @@
-//! What a target's times add to a message.
+//! The number of bytes that a target's measured times add to a message.
 
 use weirhinge_fleet::{PeerMessage, TargetLoad, encode};
 
@@ -8,9 +8,9 @@
     buffer.len()
 }
 
-/// A second and more is told of a target that is overloaded or hangs.
+/// Overloaded or stalled targets report times of a second and more.
 #[test]
-fn times_of_a_target_add_few_bytes() {
+fn target_times_add_few_bytes() {
     let load = |expected_ms, service_ms| TargetLoad { waiting: 3, expected_ms, service_ms };
     let without = bytes(load(None, None));
     assert!(bytes(load(Some(60), Some(30))) <= without + 10);
