--- a/crates/relay/tests/fleet_node.rs
+++ b/crates/relay/tests/fleet_node.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells its peers about the store.
+//! What a daemon reports to its peers about the store.
 
 mod support;
 
@@ -51,27 +51,27 @@
     Update { after, through, complete: after.is_start(), targets, ..Update::default() }
 }
 
-/// Agents once learned of their targets' size from their next digest, up to half a
-/// second and, after a restart, two and a half seconds later.
+/// Without the notification, agents learn the capacity of their targets only in answer to their
+/// next digest: up to half a second later, and two and a half seconds after a restart.
 #[test]
-fn agents_are_told_of_new_records_at_once() {
+fn agents_are_notified_of_new_records_at_once() {
     let now: Millis = 5_000;
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply_from_store(update(0, 3, vec![target(1, 2), target(2, 3)]), now);
     assert_eq!(balancer.take_recorded(), [target(1, 2), target(2, 3)]);
-    assert!(balancer.take_recorded().is_empty(), "told once");
+    assert!(balancer.take_recorded().is_empty(), "returned once");
     balancer.apply_from_store(update(3, 4, vec![target(2, 4)]), now + 100);
-    let told = balancer.take_recorded();
-    assert_eq!(told, [target(2, 4)]);
+    let records = balancer.take_recorded();
+    assert_eq!(records, [target(2, 4)]);
     balancer.apply_from_store(update(4, 4, Vec::new()), now + 200);
     assert!(balancer.take_recorded().is_empty());
     let mut agent = node(machine(2), PeerRole::Agent);
-    agent.apply_record(told[0].clone(), now + 201);
+    agent.apply_record(records[0].clone(), now + 201);
     let known = agent.view().candidates(ServiceId::of("sheets"));
     assert_eq!(known.iter().map(|known| known.slots).collect::<Vec<_>>(), [5]);
 }
 
-fn claim(recorded: bool) -> TargetClaim {
+fn target_status(recorded: bool) -> TargetClaim {
     let service = "sheets".to_owned();
     TargetClaim {
         service,
@@ -83,23 +83,23 @@
     }
 }
 
-/// At a start of 300 machines 114 to 164 daemons once connected to one balancer at the
-/// same time, most of them agents that only wanted the record of their own target.
+/// If agents fetched the record of their target over a connection, 114 to 164 daemons would connect
+/// to one balancer at the same time when 300 machines start.
 #[test]
-fn an_agent_without_a_record_is_told_without_a_connection() {
+fn agent_without_a_record_gets_it_without_a_connection() {
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply_from_store(update(0, 3, vec![target(1, 2), target(2, 3)]), 5_000);
     let mut agent = node(machine(2), PeerRole::Agent);
-    agent.claim = Some(claim(false));
+    agent.claim = Some(target_status(false));
     let reaction = balancer.on_digest(&agent.digest(false, 100), 5_001);
     assert_eq!(reaction.record, Some(target(2, 3)));
-    agent.claim = Some(claim(true));
+    agent.claim = Some(target_status(true));
     assert_eq!(balancer.on_digest(&agent.digest(false, 600), 5_501).record, None);
     assert_eq!(agent.on_digest(&balancer.digest(false, 5_502), 602).fetch_from, None);
 }
 
 #[test]
-fn agents_spread_their_fetches_over_the_balancers_that_they_know() {
+fn agents_distribute_fetches_over_known_balancers() {
     let mut seed = serving(BALANCER, 5_000);
     for number in 1..=40 {
         let other = serving(Ipv4Addr::new(10, 0, 0, 100 + number), 5_000);
@@ -115,25 +115,25 @@
         *sources.entry(source.expect("a newer configuration")).or_insert(0) += 1;
     }
     let busiest = sources.values().max().copied().unwrap_or_default();
-    assert!(busiest <= 40, "{busiest} of 200 agents ask one balancer");
+    assert!(busiest <= 40, "{busiest} of 200 agents fetch from one balancer");
 }
 
 #[test]
-fn what_peers_say_is_not_told_to_agents_again() {
+fn agents_are_not_notified_of_updates_from_peers() {
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply(update(0, 3, vec![target(1, 2)]), "peer", 5_000);
     assert!(balancer.take_recorded().is_empty());
 }
 
 #[test]
-fn a_listing_of_many_targets_is_not_told_to_all_at_once() {
+fn notifications_after_a_large_listing_are_limited() {
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     let many = (0..200).map(|number| target(number, 2)).collect();
     balancer.apply_from_store(update(0, 3, many), 5_000);
     assert!(balancer.take_recorded().len() <= 64);
 }
 
-/// A balancer that knows a configuration.
+/// A balancer that has a configuration.
 fn serving(address: Ipv4Addr, now: Millis) -> FleetNode {
     let mut balancer = node(address, PeerRole::Balancer);
     let configuration = Configuration {
@@ -148,29 +148,32 @@
     balancer
 }
 
-/// Once a slow machine whose neighbours are all of its own size had nobody to leave
-/// packets to, though the neighbours were idle.
+/// A slow machine whose neighbors all have its own capacity must be able to hand packets off to
+/// those of them that are idle.
 #[test]
-fn an_overloaded_balancer_hands_off_to_equals_that_keep_up() {
+fn overloaded_balancer_hands_off_to_equal_peers_that_keep_up() {
     let now: Millis = 5_000;
     let mut balancer = serving(BALANCER, now);
-    let says = |number, overloaded, at| {
+    let digest_of = |number, overloaded, at| {
         let mut peer = serving(machine(number), at);
         peer.overloaded = overloaded;
         peer.digest(false, at)
     };
-    balancer.on_digest(&says(1, false, now), now);
-    balancer.on_digest(&says(2, true, now), now);
-    balancer.on_digest(&Digest { stopping: true, ..says(3, false, now) }, now);
-    balancer.on_digest(&says(4, false, now - 1_000), now - 1_000);
-    assert!(balancer.helpers_now(true, now).is_empty(), "pressed for a moment only");
+    balancer.on_digest(&digest_of(1, false, now), now);
+    balancer.on_digest(&digest_of(2, true, now), now);
+    balancer.on_digest(&Digest { stopping: true, ..digest_of(3, false, now) }, now);
+    balancer.on_digest(&digest_of(4, false, now - 1_000), now - 1_000);
+    assert!(
+        balancer.helpers_now(true, now).is_empty(),
+        "not overloaded, only under short pressure"
+    );
     balancer.overloaded = true;
     assert_eq!(balancer.helpers_now(true, now), [machine(1)]);
-    assert!(balancer.helpers_now(false, now).is_empty(), "no packet waits any more");
+    assert!(balancer.helpers_now(false, now).is_empty(), "no longer under pressure");
 }
 
 #[test]
-fn a_balancer_tells_how_its_peers_fare() {
+fn peer_load_counts_overloaded_peers() {
     let now: Millis = 5_000;
     let mut balancer = serving(BALANCER, now);
     for (number, overloaded) in [(1, false), (2, true), (3, false)] {
@@ -182,10 +185,10 @@
     assert_eq!((load.keeping_up, load.overloaded), (2, 1));
 }
 
-/// The way in which the fleet once lost sight of the store: the reader is cut off, and
-/// every 600 ms a machine comes whose agent learns from a peer and speaks to others.
+/// A fleet must detect that its reader is disconnected, although every 600 ms an agent starts that
+/// learns from a peer and sends digests to others.
 #[test]
-fn agents_that_start_do_not_make_old_knowledge_fresh() {
+fn starting_agents_do_not_make_old_state_fresh() {
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     let confirmed_at: Millis = 20_000;
     balancer.apply_from_store(update(0, 347, vec![target(1, 2)]), confirmed_at);
@@ -194,21 +197,21 @@
         let now = confirmed_at + Millis::from(started) * 600;
         let mut agent = node(machine(started), PeerRole::Agent);
         agent.apply(balancer.answer(agent.request(), now), "peer", uptime);
-        let word = agent.digest(false, uptime);
-        balancer.on_digest(&word, now);
+        let digest = agent.digest(false, uptime);
+        balancer.on_digest(&digest, now);
         assert_eq!(balancer.age(now), Some(now - confirmed_at), "agent {started}");
     }
-    assert!(balancer.should_read(confirmed_at + 5_400), "somebody asks the store again");
+    assert!(balancer.should_read(confirmed_at + 5_400), "a balancer reads the store again");
 }
 
-/// An update from the store in which an evacuation of zone `a` began.
+/// An update from the store in which the evacuation of zone `a` starts.
 fn evacuation(after: u64, through: u64) -> Update {
     let change = ZoneChange { zone: "a".to_owned(), position: at(through), begins: true };
     Update { zones: ZoneNews::Changes(vec![change]), ..update(after, through, Vec::new()) }
 }
 
 #[test]
-fn an_evacuation_travels_with_digests_and_is_passed_on_at_once() {
+fn evacuation_is_propagated_by_digests_at_once() {
     let now: Millis = 5_000;
     let mut reader = serving(BALANCER, now);
     reader.apply_from_store(evacuation(2, 7), now);
@@ -216,8 +219,8 @@
     let reaction = other.on_digest(&reader.digest(false, now), now + 1);
     assert!(other.view().evacuated_count() == 1 && reaction.spread);
     let again = other.on_digest(&reader.digest(false, now), now + 2);
-    assert!(!again.spread, "passed on once");
-    // An agent of the zone is answered, and knows.
+    assert!(!again.spread, "propagated once");
+    // An agent of the zone gets a reply and then knows of the evacuation.
     let mut agent = node(machine(2), PeerRole::Agent);
     agent.apply(other.answer(agent.request(), now), "peer", 100);
     let unaware = node(machine(3), PeerRole::Agent);
@@ -225,7 +228,7 @@
     unaware_digest.configuration = Some(1);
     assert!(other.on_digest(&unaware_digest, now + 3).reply);
     assert!(agent.is_evacuated());
-    // A balancer without memory hears of it from that agent.
+    // A restarted balancer learns of it from that agent.
     let mut restarted = node(machine(8), PeerRole::Balancer);
     restarted.on_digest(&agent.digest(false, 200), 50);
     assert_eq!(restarted.view().evacuated_count(), 1);
--- a/crates/relay/tests/fleet_scale.rs
+++ b/crates/relay/tests/fleet_scale.rs
@@ -1,6 +1,6 @@
-//! Membership and dissemination at the size aimed at, in simulated time: hollow
-//! daemons with the real knowledge and the real choice of peers, a store that
-//! counts its calls, datagrams that are late and lost.
+//! Membership and dissemination at the target scale, in simulated time: daemons with the real fleet
+//! state and the real choice of peers but no data path, a store that counts its calls, and
+//! datagrams that are delayed and lost.
 
 mod support;
 
@@ -17,11 +17,11 @@
 use weirhinge_relay::FleetNode;
 
 const TICK_MS: Millis = 500;
-const ONE_WAY_MS: Millis = 3;
-const READ_MS: Millis = 8;
-const FETCH_PATIENCE_MS: Millis = 150;
+const ONE_WAY_DELAY_MS: Millis = 3;
+const STORE_READ_MS: Millis = 8;
+const FETCH_TIMEOUT_MS: Millis = 150;
 /// One datagram in this many is lost.
-const LOSS: u64 = 100;
+const DATAGRAMS_PER_LOSS: u64 = 100;
 
 enum Event {
     Tick,
@@ -31,11 +31,12 @@
     Read(Position),
 }
 
-struct Hollow {
+struct SimulatedDaemon {
     node: FleetNode,
     is_balancer: bool,
-    wanted: (Position, Millis),
-    /// Calls in a row that the store did not answer.
+    /// The position of the last fetch, and when it was requested.
+    fetching: (Position, Millis),
+    /// Consecutive calls that the store did not answer.
     failures: u32,
     bytes: u64,
 }
@@ -45,20 +46,21 @@
     queue: BinaryHeap<Reverse<(Millis, u64, usize)>>,
     events: HashMap<u64, Event>,
     next_event: u64,
-    daemons: Vec<Hollow>,
+    daemons: Vec<SimulatedDaemon>,
     by_address: HashMap<Ipv4Addr, usize>,
     store: Position,
-    store_refuses: Option<usize>,
-    /// Whether the store answers nobody.
-    store_is_away: bool,
+    /// Index of the balancer whose calls the store refuses.
+    refused_daemon: Option<usize>,
+    /// Whether the store answers no balancer.
+    is_store_down: bool,
     calls: u64,
     /// Calls that listed the whole store.
     listings: u64,
     random: u64,
 }
 
-fn address_of(place: usize) -> Ipv4Addr {
-    Ipv4Addr::from_bits(0x0a00_0001 + place as u32)
+fn address_of(index: usize) -> Ipv4Addr {
+    Ipv4Addr::from_bits(0x0a00_0001 + index as u32)
 }
 
 impl Simulation {
@@ -71,21 +73,21 @@
             daemons: Vec::new(),
             by_address: HashMap::new(),
             store: Position::new(0, 1),
-            store_refuses: None,
-            store_is_away: false,
+            refused_daemon: None,
+            is_store_down: false,
             calls: 0,
             listings: 0,
             random: 1,
         };
-        for place in 0..balancers + agents {
-            let is_balancer = place < balancers;
+        for index in 0..balancers + agents {
+            let is_balancer = index < balancers;
             let role = if is_balancer { PeerRole::Balancer } else { PeerRole::Agent };
             let log = Logger::root(Discard, o!());
             let mut node = FleetNode::with_seed(
-                &settings(address_of(place), (0..3).map(address_of)),
+                &settings(address_of(index), (0..3).map(address_of)),
                 role,
                 log,
-                place as u64,
+                index as u64,
             );
             node.claim = (!is_balancer).then(|| TargetClaim {
                 service: "sheets".to_owned(),
@@ -95,24 +97,24 @@
                 recorded: true,
                 without_former_flows: Some(1),
             });
-            simulation.by_address.insert(address_of(place), place);
-            simulation.daemons.push(Hollow {
+            simulation.by_address.insert(address_of(index), index);
+            simulation.daemons.push(SimulatedDaemon {
                 node,
                 is_balancer,
-                wanted: (Position::default(), 0),
+                fetching: (Position::default(), 0),
                 failures: 0,
                 bytes: 0,
             });
             let start = simulation.draw(300);
-            simulation.schedule(start, place, Event::Tick);
+            simulation.schedule(start, index, Event::Tick);
             if is_balancer {
-                simulation.schedule(start, place, Event::Poll);
+                simulation.schedule(start, index, Event::Poll);
             }
         }
         simulation
     }
 
-    /// A small pseudo-random number (xorshift), the same in every run.
+    /// Returns a pseudo-random number below a limit (xorshift), the same in every run.
     fn draw(&mut self, below: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -120,84 +122,84 @@
         self.random % below
     }
 
-    fn schedule(&mut self, at: Millis, place: usize, event: Event) {
+    fn schedule(&mut self, at: Millis, index: usize, event: Event) {
         self.events.insert(self.next_event, event);
-        self.queue.push(Reverse((at, self.next_event, place)));
+        self.queue.push(Reverse((at, self.next_event, index)));
         self.next_event += 1;
     }
 
     fn run_until(&mut self, end: Millis, mut done: impl FnMut(&Self) -> bool) -> Millis {
-        while let Some(Reverse((at, number, place))) = self.queue.pop() {
+        while let Some(Reverse((at, number, index))) = self.queue.pop() {
             if at > end || done(self) {
-                self.queue.push(Reverse((at, number, place)));
+                self.queue.push(Reverse((at, number, index)));
                 break;
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.handle(place, event);
+                self.handle(index, event);
             }
         }
         self.now
     }
 
-    fn handle(&mut self, place: usize, event: Event) {
+    fn handle(&mut self, index: usize, event: Event) {
         let now = self.now;
         match event {
             Event::Tick => {
-                let receivers = self.daemons[place].node.tick_receivers(now);
-                for (receiver, ask) in receivers {
-                    self.send_digest(place, receiver, ask);
+                let receivers = self.daemons[index].node.tick_receivers(now);
+                for (receiver, requests_digest) in receivers {
+                    self.send_digest(index, receiver, requests_digest);
                 }
-                self.schedule(now + TICK_MS, place, Event::Tick);
+                self.schedule(now + TICK_MS, index, Event::Tick);
             }
-            Event::Poll => self.poll(place),
-            Event::Deliver(digest) => self.deliver(place, &digest),
+            Event::Poll => self.poll(index),
+            Event::Deliver(digest) => self.deliver(index, &digest),
             Event::Fetched(update) => {
-                if self.daemons[place].node.apply(*update, "peer", now) {
-                    self.spread(place);
+                if self.daemons[index].node.apply(*update, "peer", now) {
+                    self.propagate(index);
                 }
             }
-            Event::Read(after) => self.read(place, after),
+            Event::Read(after) => self.read(index, after),
         }
     }
 
-    fn poll(&mut self, place: usize) {
+    fn poll(&mut self, index: usize) {
         let now = self.now;
-        let node = &mut self.daemons[place].node;
+        let node = &mut self.daemons[index].node;
         if !node.should_read(now) {
             node.reading = false;
-            return self.schedule(now + 40, place, Event::Poll);
+            return self.schedule(now + 40, index, Event::Poll);
         }
         let after = node.position();
         self.calls += 1;
-        if self.store_is_away {
+        if self.is_store_down {
             node.reading = false;
-            self.daemons[place].failures += 1;
-            let wait = self.daemons[place].node.wait_after_failure(self.daemons[place].failures);
-            return self.schedule(now + wait, place, Event::Poll);
+            self.daemons[index].failures += 1;
+            let wait = self.daemons[index].node.wait_after_failure(self.daemons[index].failures);
+            return self.schedule(now + wait, index, Event::Poll);
         }
-        if self.store_refuses == Some(place) {
+        if self.refused_daemon == Some(index) {
             node.reading = false;
-            return self.schedule(now + 500, place, Event::Poll);
+            return self.schedule(now + 500, index, Event::Poll);
         }
         let is_listing = after.is_start() || after.era != self.store.era;
         self.listings += u64::from(is_listing);
-        let wait = if after == self.store { 1_000 } else { READ_MS };
-        self.schedule(now + wait, place, Event::Read(after));
+        let wait = if after == self.store { 1_000 } else { STORE_READ_MS };
+        self.schedule(now + wait, index, Event::Read(after));
     }
 
-    fn read(&mut self, place: usize, after: Position) {
+    fn read(&mut self, index: usize, after: Position) {
         let now = self.now;
         let update = self.store_update(after);
-        self.daemons[place].failures = 0;
-        let node = &mut self.daemons[place].node;
+        self.daemons[index].failures = 0;
+        let node = &mut self.daemons[index].node;
         node.apply_from_store(update, now);
         node.reading = true;
-        self.spread(place);
-        self.schedule(now + 250, place, Event::Poll);
+        self.propagate(index);
+        self.schedule(now + 250, index, Event::Poll);
     }
 
-    /// What the store says: one record an agent from the start, and a configuration
+    /// Returns the store's answer: one record per agent at the first revision, and a configuration
     /// that changes with every further revision.
     fn store_update(&self, after: Position) -> Update {
         let through = self.store;
@@ -209,14 +211,14 @@
         };
         let is_new = through > after;
         let is_listing = after.is_start() || after.era != through.era;
-        let agents = (0..self.daemons.len()).filter(|place| !self.daemons[*place].is_balancer);
-        let targets = agents.map(|place| VersionedTarget {
-            id: format!("target-{place}"),
+        let agents = (0..self.daemons.len()).filter(|index| !self.daemons[*index].is_balancer);
+        let targets = agents.map(|index| VersionedTarget {
+            id: format!("target-{index}"),
             position: Position::new(through.era, 1),
             present: true,
             record: Some(TargetRecord {
                 service: "sheets".to_owned(),
-                address: address_of(place).to_bits(),
+                address: address_of(index).to_bits(),
                 zone: "a".to_owned(),
                 slots: 5,
                 state: TargetState::Ready,
@@ -237,52 +239,52 @@
         }
     }
 
-    fn deliver(&mut self, place: usize, digest: &Digest) {
+    fn deliver(&mut self, index: usize, digest: &Digest) {
         let now = self.now;
-        let daemon = &mut self.daemons[place];
+        let daemon = &mut self.daemons[index];
         let reaction = daemon.node.on_digest(digest, now);
         let sender = Ipv4Addr::from_bits(digest.sender);
         if reaction.reply {
-            self.send_digest(place, sender, false);
+            self.send_digest(index, sender, false);
         }
-        let daemon = &mut self.daemons[place];
-        let (wanted, since) = daemon.wanted;
-        let is_on_its_way =
-            digest.position <= wanted && now.saturating_sub(since) < FETCH_PATIENCE_MS;
-        if let Some(source) = reaction.fetch_from.filter(|_| !is_on_its_way) {
-            daemon.wanted = (digest.position, now);
+        let daemon = &mut self.daemons[index];
+        let (fetching, since) = daemon.fetching;
+        let is_in_flight =
+            digest.position <= fetching && now.saturating_sub(since) < FETCH_TIMEOUT_MS;
+        if let Some(source) = reaction.fetch_from.filter(|_| !is_in_flight) {
+            daemon.fetching = (digest.position, now);
             let request = daemon.node.request();
             let from = self.by_address[&source];
             let update = self.daemons[from].node.answer(request, now);
             let mut buffer = Vec::new();
             encode(&update, &mut buffer).expect("encodes");
             self.daemons[from].bytes += buffer.len() as u64;
-            self.schedule(now + 4 * ONE_WAY_MS, place, Event::Fetched(Box::new(update)));
+            self.schedule(now + 4 * ONE_WAY_DELAY_MS, index, Event::Fetched(Box::new(update)));
         }
         if reaction.spread {
-            self.spread(place);
+            self.propagate(index);
         }
     }
 
-    fn spread(&mut self, place: usize) {
-        let node = &mut self.daemons[place].node;
+    fn propagate(&mut self, index: usize) {
+        let node = &mut self.daemons[index].node;
         for receiver in node.news_receivers() {
-            self.send_digest(place, receiver, false);
+            self.send_digest(index, receiver, false);
         }
     }
 
-    fn send_digest(&mut self, place: usize, receiver: Ipv4Addr, ask: bool) {
-        let digest = self.daemons[place].node.digest(ask, self.now);
+    fn send_digest(&mut self, index: usize, receiver: Ipv4Addr, requests_digest: bool) {
+        let digest = self.daemons[index].node.digest(requests_digest, self.now);
         let mut buffer = Vec::new();
         encode(&PeerMessage::Digest(digest.clone()), &mut buffer).expect("encodes");
-        // Headers of IP and UDP count as well.
-        self.daemons[place].bytes += buffer.len() as u64 + 28;
-        if self.draw(LOSS) == 0 {
+        // The IP and UDP headers are counted as well.
+        self.daemons[index].bytes += buffer.len() as u64 + 28;
+        if self.draw(DATAGRAMS_PER_LOSS) == 0 {
             return;
         }
         let to = self.by_address[&receiver];
-        let late = ONE_WAY_MS + self.draw(5);
-        self.schedule(self.now + late, to, Event::Deliver(Box::new(digest)));
+        let delay = ONE_WAY_DELAY_MS + self.draw(5);
+        self.schedule(self.now + delay, to, Event::Deliver(Box::new(digest)));
     }
 
     fn all_balancers_know(&self, position: Position) -> bool {
@@ -294,8 +296,8 @@
         self.daemons.iter().all(|daemon| daemon.node.position() >= position)
     }
 
-    /// Bytes a second sent by the busiest daemon and on average since `began`, then
-    /// counts anew.
+    /// Returns the bytes per second sent since `began` by the busiest daemon and on average, and
+    /// resets the counters.
     fn take_bytes(&mut self, began: Millis) -> (u64, u64) {
         let seconds = ((self.now - began) / 1_000).max(1);
         let most = self.daemons.iter().map(|daemon| daemon.bytes).max().unwrap_or(0);
@@ -308,7 +310,7 @@
 }
 
 #[test]
-fn a_thousand_daemons_follow_changes_within_three_seconds_and_six_kilobytes() {
+fn thousand_daemons_apply_changes_in_three_seconds_at_six_kilobytes_per_second() {
     let mut simulation = Simulation::new(300, 700);
     simulation.run_until(15_000, |_| false);
     assert!(simulation.everyone_knows(Position::new(0, 1)));
@@ -319,7 +321,7 @@
     let (most, mean) = simulation.take_bytes(began);
     let calls = simulation.calls - calls;
     println!("quiet, 20 s: {most} B/s at most, {mean} B/s on average, {calls} calls");
-    assert!(most < 6_000, "{most} B/s of control at the busiest daemon");
+    assert!(most < 6_000, "{most} B/s of control traffic at the busiest daemon");
     assert!(calls < 60, "{calls} calls in 20 s");
     let mut longest = (0, 0);
     for _ in 0..5 {
@@ -333,35 +335,35 @@
         simulation.run_until(now + 3_000, |_| false);
     }
     println!("change: {} ms at all balancers, {} ms at all daemons", longest.0, longest.1);
-    // The watch of the simulated store answers after its whole wait, 1 s at worst.
+    // The watch of the simulated store answers only after its whole wait, 1 s at worst.
     assert!(longest.0 < 3_000, "{} ms", longest.0);
     assert!(longest.1 < 10_000, "{} ms", longest.1);
 }
 
 #[test]
-fn a_reader_that_the_store_refuses_is_replaced_in_time() {
+fn reader_refused_by_the_store_is_replaced_in_time() {
     let mut simulation = Simulation::new(300, 0);
     simulation.run_until(10_000, |_| false);
     let reader = simulation.daemons.iter().position(|daemon| daemon.node.reading);
-    simulation.store_refuses = reader;
+    simulation.refused_daemon = reader;
     simulation.store.revision += 1;
     let (position, began) = (simulation.store, simulation.now);
     let took = simulation.run_until(began + 10_000, |sim| sim.all_balancers_know(position)) - began;
-    println!("change past a refused reader: {took} ms at all balancers");
+    println!("change after the reader is refused: {took} ms at all balancers");
     assert!(reader.is_some() && took < 3_000, "{took} ms");
 }
 
-/// All balancers want to read when the store comes back, and it came back from a copy. A few
-/// list it, the others hear of it from them.
+/// After an outage, all balancers try to read a store that was also restored from a backup. A few
+/// list it and the others learn of it from those.
 #[test]
-fn a_restored_store_is_listed_by_a_few_for_all() {
+fn restored_store_is_listed_by_a_few_balancers() {
     let mut simulation = Simulation::new(300, 0);
     simulation.run_until(10_000, |_| false);
     simulation.store.revision = 40;
     simulation.run_until(14_000, |_| false);
-    simulation.store_is_away = true;
+    simulation.is_store_down = true;
     simulation.run_until(16_000, |_| false);
-    simulation.store_is_away = false;
+    simulation.is_store_down = false;
     simulation.store = Position::new(1, 12);
     let (listings, position) = (simulation.listings, simulation.store);
     let (calls, began) = (simulation.calls, simulation.now);
@@ -372,7 +374,7 @@
         "restored store: {took} ms at all balancers, {listings} listings, {calls} calls in 5 s"
     );
     assert!(took < 3_000, "{took} ms");
-    assert!(listings <= 30, "{listings} of 300 balancers list the store");
+    assert!(listings <= 30, "{listings} listings by 300 balancers");
 }
 
 #[test]
