--- a/crates/fleet/src/evacuation.rs
+++ b/crates/fleet/src/evacuation.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether this set is newer than `known` and differs from it.
-    pub fn is_news_for(&self, known: &Self) -> bool {
+    pub fn has_updates_for(&self, known: &Self) -> bool {
         self.as_of > known.as_of && self.zones != known.zones
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -30,9 +30,9 @@
     ColdStartPolicy, Configuration, RegionId, Route, RoutePart, ServiceId, TargetRecord,
     TargetState, ZoneId,
 };
-pub use peers::{PEER_LIFETIME_MS, PeerTable, ServingPeer};
+pub use peers::{PEER_TIMEOUT_MS, PeerTable, ServingPeer};
 pub use position::Position;
-pub use replica::{KeptAgainstCopy, Replica};
+pub use replica::{Replica, RestoreConflicts};
 pub use target_entry::{TargetEntry, VersionedTarget};
 pub use timing::{Bounds, Timing};
 pub use update::{Change, Update, VersionedConfiguration};
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -10,7 +10,7 @@
 use crate::model::ZoneId;
 
 /// Milliseconds without a message after which a peer is considered gone.
-pub const PEER_LIFETIME_MS: Millis = 6_000;
+pub const PEER_TIMEOUT_MS: Millis = 6_000;
 /// Milliseconds without a message after which a digest is requested from a peer.
 const DIGEST_REQUEST_AFTER_MS: Millis = 2_000;
 /// Maximum number of balancers remembered; the others are reached indirectly.
@@ -21,7 +21,7 @@
 /// The state of one peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Peer {
-    heard_at: Option<Millis>,
+    last_seen_at: Option<Millis>,
     advertised_at: Millis,
     reported_reading_at: Option<Millis>,
     zone: ZoneId,
@@ -41,15 +41,15 @@
     /// The zone that the balancer runs in.
     pub zone: ZoneId,
     /// Time of the last digest from the balancer.
-    pub heard_at: Millis,
+    pub last_seen_at: Millis,
     /// Whether it reported that it cannot keep up with its packets.
     pub overloaded: bool,
 }
 
 impl ServingPeer {
     /// Whether a digest arrived from it within the last `window` milliseconds.
-    pub fn was_heard_within(&self, window: Millis, now: Millis) -> bool {
-        now.saturating_sub(self.heard_at) < window
+    pub fn was_seen_within(&self, window: Millis, now: Millis) -> bool {
+        now.saturating_sub(self.last_seen_at) < window
     }
 }
 
@@ -77,7 +77,7 @@
 
     /// Records a received digest. Returns whether this is the first one from its sender, if that is
     /// a balancer.
-    pub fn heard(&mut self, digest: &Digest, now: Millis) -> bool {
+    pub fn record_digest(&mut self, digest: &Digest, now: Millis) -> bool {
         let sender = Ipv4Addr::from_bits(digest.sender);
         for advertised in digest.balancers.iter().take(MAX_ADVERTISED_BALANCERS) {
             self.record_advertised(Ipv4Addr::from_bits(*advertised), now);
@@ -87,10 +87,10 @@
             return false;
         }
         let known = self.peers.get(&sender);
-        let is_new = known.is_none_or(|peer| peer.heard_at.is_none());
+        let is_new = known.is_none_or(|peer| peer.last_seen_at.is_none());
         let reported_reading_at = if digest.reading { Some(now) } else { None };
         let peer = Peer {
-            heard_at: Some(now),
+            last_seen_at: Some(now),
             advertised_at: now,
             reported_reading_at,
             zone: digest.zone,
@@ -105,16 +105,17 @@
 
     /// Whether nothing was received from a peer for so long that a digest should be requested from
     /// it. Peers without changes do not send one of their own accord.
-    pub fn is_due(&self, address: Ipv4Addr, now: Millis) -> bool {
-        let heard_at = self.peers.get(&address).and_then(|peer| peer.heard_at);
-        heard_at.is_none_or(|heard_at| now.saturating_sub(heard_at) >= DIGEST_REQUEST_AFTER_MS)
+    pub fn needs_digest_request(&self, address: Ipv4Addr, now: Millis) -> bool {
+        let last_seen_at = self.peers.get(&address).and_then(|peer| peer.last_seen_at);
+        last_seen_at
+            .is_none_or(|last_seen_at| now.saturating_sub(last_seen_at) >= DIGEST_REQUEST_AFTER_MS)
     }
 
-    /// Removes peers that were neither seen nor advertised for [`PEER_LIFETIME_MS`].
+    /// Removes peers that were neither seen nor advertised for [`PEER_TIMEOUT_MS`].
     pub fn expire(&mut self, now: Millis) {
         self.peers.retain(|_, peer| {
-            let last_contact_at = peer.heard_at.unwrap_or(peer.advertised_at);
-            now.saturating_sub(last_contact_at) < PEER_LIFETIME_MS
+            let last_contact_at = peer.last_seen_at.unwrap_or(peer.advertised_at);
+            now.saturating_sub(last_contact_at) < PEER_TIMEOUT_MS
         });
     }
 
@@ -126,17 +127,17 @@
     /// Iterates over the seeds from which no digest arrived recently.
     pub fn silent_seeds(&self) -> impl Iterator<Item = Ipv4Addr> {
         let is_silent =
-            |seed: &Ipv4Addr| self.peers.get(seed).is_none_or(|peer| peer.heard_at.is_none());
+            |seed: &Ipv4Addr| self.peers.get(seed).is_none_or(|peer| peer.last_seen_at.is_none());
         self.seeds.iter().copied().filter(is_silent)
     }
 
     /// Returns the addresses of balancers to advertise in a digest, beginning at index `start`. The
     /// caller draws it at random so that all balancers are advertised over time.
-    pub fn named_in_digest(&self, start: usize) -> Vec<u32> {
+    pub fn balancers_to_advertise(&self, start: usize) -> Vec<u32> {
         let seen: Vec<Ipv4Addr> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.heard_at.is_some())
+            .filter(|(_, peer)| peer.last_seen_at.is_some())
             .map(|(address, _)| *address)
             .collect();
         let count = seen.len().min(MAX_ADVERTISED_BALANCERS);
@@ -150,7 +151,7 @@
 
     /// Whether a balancer with a lower address reported within the last `window` milliseconds that
     /// it reads the store.
-    pub fn lower_reader(&self, now: Millis, window: Millis) -> bool {
+    pub fn has_lower_reader(&self, now: Millis, window: Millis) -> bool {
         self.peers.range(..self.own_address).any(|(_, peer)| {
             peer.reported_reading_at.is_some_and(|at| now.saturating_sub(at) < window)
         })
@@ -158,11 +159,16 @@
 
     /// Iterates over the balancers of a zone that have at least this capacity and are not shutting
     /// down, each with the time of its last digest.
-    pub fn capable(&self, zone: ZoneId, capacity: u32) -> impl Iterator<Item = (Ipv4Addr, Millis)> {
+    pub fn capable_in_zone(
+        &self,
+        zone: ZoneId,
+        capacity: u32,
+    ) -> impl Iterator<Item = (Ipv4Addr, Millis)> {
         self.peers.iter().filter_map(move |(address, peer)| {
             let has_capacity = peer.capacity.is_some_and(|known| known >= capacity);
-            let heard_at = peer.heard_at?;
-            (has_capacity && peer.zone == zone && !peer.stopping).then_some((*address, heard_at))
+            let last_seen_at = peer.last_seen_at?;
+            (has_capacity && peer.zone == zone && !peer.stopping)
+                .then_some((*address, last_seen_at))
         })
     }
 
@@ -173,7 +179,7 @@
             let serving = ServingPeer {
                 address: *address,
                 zone: peer.zone,
-                heard_at: peer.heard_at?,
+                last_seen_at: peer.last_seen_at?,
                 overloaded: peer.overloaded,
             };
             (peer.configured && !peer.stopping).then_some(serving)
@@ -182,7 +188,7 @@
 
     /// Iterates over the balancers of a zone from which a digest arrived.
     pub fn in_zone(&self, zone: ZoneId) -> impl Iterator<Item = Ipv4Addr> {
-        let seen = self.peers.iter().filter(|(_, peer)| peer.heard_at.is_some());
+        let seen = self.peers.iter().filter(|(_, peer)| peer.last_seen_at.is_some());
         seen.filter(move |(_, peer)| peer.zone == zone).map(|(address, _)| *address)
     }
 
@@ -191,7 +197,7 @@
             return;
         }
         let peer = Peer {
-            heard_at: None,
+            last_seen_at: None,
             advertised_at: now,
             reported_reading_at: None,
             zone: ZoneId::default(),
--- a/crates/fleet/src/reader.rs
+++ b/crates/fleet/src/reader.rs
@@ -56,18 +56,18 @@
     /// Whether this balancer currently reads the store.
     pub reading: bool,
     /// Whether a balancer with a lower address recently reported that it reads the store.
-    pub lower_reader: bool,
+    pub has_lower_reader: bool,
     /// Whether a verification read of this balancer is due.
-    pub checks: bool,
+    pub verification_due: bool,
 }
 
 /// Schedule of the verification reads of one balancer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CheckSchedule {
+pub struct VerificationSchedule {
     next_at: Option<Millis>,
 }
 
-impl CheckSchedule {
+impl VerificationSchedule {
     /// Whether a verification read is due. Draws the time of the next one if the previous time has
     /// passed or none was drawn yet. `fraction` is a random number in [0, 1).
     pub fn is_due(&mut self, uptime_ms: Millis, balancers: usize, fraction: f64) -> bool {
@@ -86,11 +86,11 @@
 
 /// Whether this balancer should make the next call to the store.
 pub fn should_read(inputs: &ReaderInputs, timing: &Timing) -> bool {
-    let rank_delay = (inputs.rank as Millis).saturating_mul(timing.rank_step_ms);
-    let read_after = timing.read_after_ms + rank_delay.min(timing.longest_rank_wait_ms);
+    let rank_delay = (inputs.rank as Millis).saturating_mul(timing.rank_delay_ms);
+    let read_after = timing.read_after_ms + rank_delay.min(timing.max_rank_delay_ms);
     match inputs.age_ms {
         None => inputs.uptime_ms >= INITIAL_READ_DELAY_MS,
         Some(age) if age > read_after => true,
-        Some(_) => inputs.checks || (inputs.reading && !inputs.lower_reader),
+        Some(_) => inputs.verification_due || (inputs.reading && !inputs.has_lower_reader),
     }
 }
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -19,7 +19,7 @@
 /// Number of entries for which the state known before a restore of the store from a backup is kept
 /// during the hold period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct KeptAgainstCopy {
+pub struct RestoreConflicts {
     /// Targets that are missing from the backup.
     pub unrenewed: usize,
     /// Targets whose records in the backup conflict with the known state.
@@ -128,11 +128,11 @@
 
     /// Returns the number of entries that are kept although the newest era contradicts them, for
     /// logs.
-    pub fn kept(&self) -> KeptAgainstCopy {
+    pub fn restore_conflicts(&self) -> RestoreConflicts {
         let era = self.position.era;
         let is_unrenewed =
             |entry: &&TargetEntry| entry.target.present && entry.target.position.era < era;
-        KeptAgainstCopy {
+        RestoreConflicts {
             unrenewed: self.targets().filter(is_unrenewed).count(),
             disputed: self.targets().filter(|entry| entry.is_disputed()).count(),
             zones: self.zone_overrides.len(),
@@ -171,7 +171,7 @@
             self.advance(update.through);
             self.confirm(update.through, update.age_ms, now);
         }
-        changes.extend(self.settle(now));
+        changes.extend(self.expire_hold(now));
         self.forget_removed(now);
         changes
     }
@@ -180,7 +180,7 @@
     pub fn learn_evacuated(&mut self, zones: &EvacuatedZones, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
         self.learn_era(zones.as_of.era, now);
-        if zones.is_news_for(&self.stored_zones) {
+        if zones.has_updates_for(&self.stored_zones) {
             self.set_zones(zones.clone(), now, &mut changes);
         } else {
             self.stored_zones.as_of = self.stored_zones.as_of.max(zones.as_of);
@@ -204,7 +204,7 @@
     /// Ends the hold period if it is over: the newest era overrides what was kept against it, and
     /// targets whose records were not renewed in it are considered removed. Must be called
     /// regularly. Returns the changes that it made.
-    pub fn settle(&mut self, now: Millis) -> Vec<Change> {
+    pub fn expire_hold(&mut self, now: Millis) -> Vec<Change> {
         let mut changes = Vec::new();
         let is_current = self.position.era == self.era_hold.newest;
         let confirmed_at = self.confirmed_at.filter(|_| is_current);
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -48,11 +48,11 @@
     /// a watch, so that a second balancer does not start reading beside a working reader.
     pub read_after_ms: Millis,
     /// Additional delay for each balancer with a lower address.
-    pub rank_step_ms: Millis,
+    pub rank_delay_ms: Millis,
     /// Maximum of that delay.
-    pub longest_rank_wait_ms: Millis,
+    pub max_rank_delay_ms: Millis,
     /// How long a peer's report that it reads the store is valid.
-    pub reader_word_ms: Millis,
+    pub reader_report_lifetime_ms: Millis,
     /// Age up to which the known state is fresh enough to refuse flows based on it.
     pub fresh_ms: Millis,
     /// Age from which the known state is considered stale.
@@ -78,9 +78,9 @@
             watch_wait_ms: wait,
             watch_spacing_ms: wait / 4,
             read_after_ms: wait * 27 / 20,
-            rank_step_ms: wait * 12 / 100,
-            longest_rank_wait_ms: wait * 48 / 100,
-            reader_word_ms: wait * 13 / 10,
+            rank_delay_ms: wait * 12 / 100,
+            max_rank_delay_ms: wait * 48 / 100,
+            reader_report_lifetime_ms: wait * 13 / 10,
             fresh_ms: wait * 18 / 10,
             stale_ms: wait * 5 / 2,
             settle_ms: renewal_time.min(bounds.drain_ms * 5 / 6),
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -97,7 +97,7 @@
     agent.learn_evacuated(&zones(10, &["a"]), 0);
     let mut restarted = Replica::new();
     restarted.apply(listing(30, &[]), 0);
-    assert!(restarted.evacuated().is_news_for(agent.evacuated()));
+    assert!(restarted.evacuated().has_updates_for(agent.evacuated()));
     agent.learn_evacuated(restarted.evacuated(), 900);
     assert_eq!(evacuated(&agent), Vec::<&str>::new());
 }
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -3,9 +3,11 @@
 use std::net::Ipv4Addr;
 
 use proptest::prelude::*;
-use weirhinge_fleet::reader::{CheckSchedule, ReaderInputs, should_read, wait_after_failure};
+use weirhinge_fleet::reader::{
+    ReaderInputs, VerificationSchedule, should_read, wait_after_failure,
+};
 use weirhinge_fleet::{
-    Bounds, Digest, EvacuatedZones, MessageError, Millis, PEER_LIFETIME_MS, PeerMessage, PeerRole,
+    Bounds, Digest, EvacuatedZones, MessageError, Millis, PEER_TIMEOUT_MS, PeerMessage, PeerRole,
     PeerTable, Position, SearchPath, Timing, ZoneId, decode, encode,
 };
 
@@ -40,8 +42,8 @@
         age_ms: Some(200),
         rank: 0,
         reading: false,
-        lower_reader: false,
-        checks: false,
+        has_lower_reader: false,
+        verification_due: false,
     }
 }
 
@@ -49,10 +51,10 @@
 fn seeds_are_silent_until_a_digest_arrives() {
     let mut peers = PeerTable::new(OWN, [OWN, address(1), address(2)]);
     assert_eq!(peers.silent_seeds().collect::<Vec<_>>(), vec![address(1), address(2)]);
-    assert!(peers.heard(&digest(address(1), false), 0));
-    assert!(!peers.heard(&digest(address(1), false), 10));
+    assert!(peers.record_digest(&digest(address(1), false), 0));
+    assert!(!peers.record_digest(&digest(address(1), false), 10));
     assert_eq!(peers.silent_seeds().collect::<Vec<_>>(), vec![address(2)]);
-    peers.expire(PEER_LIFETIME_MS + 20);
+    peers.expire(PEER_TIMEOUT_MS + 20);
     assert_eq!(peers.silent_seeds().count(), 2);
     assert_eq!(peers.balancers().count(), 0);
 }
@@ -61,22 +63,22 @@
 fn capable_peers_are_in_the_zone_with_capacity_and_not_stopping() {
     let mut peers = PeerTable::new(OWN, []);
     let zone = ZoneId::of("a");
-    peers.heard(&digest(address(1), false), 7);
-    peers.heard(&Digest { zone: ZoneId::of("b"), ..digest(address(2), false) }, 7);
-    peers.heard(&Digest { capacity: Some(100), ..digest(address(3), false) }, 7);
-    peers.heard(&Digest { capacity: None, ..digest(address(4), false) }, 7);
-    assert_eq!(peers.capable(zone, 300).collect::<Vec<_>>(), vec![(address(1), 7)]);
-    peers.heard(&Digest { stopping: true, ..digest(address(1), false) }, 9);
-    assert_eq!(peers.capable(zone, 300).count(), 0);
+    peers.record_digest(&digest(address(1), false), 7);
+    peers.record_digest(&Digest { zone: ZoneId::of("b"), ..digest(address(2), false) }, 7);
+    peers.record_digest(&Digest { capacity: Some(100), ..digest(address(3), false) }, 7);
+    peers.record_digest(&Digest { capacity: None, ..digest(address(4), false) }, 7);
+    assert_eq!(peers.capable_in_zone(zone, 300).collect::<Vec<_>>(), vec![(address(1), 7)]);
+    peers.record_digest(&Digest { stopping: true, ..digest(address(1), false) }, 9);
+    assert_eq!(peers.capable_in_zone(zone, 300).count(), 0);
 }
 
 #[test]
 fn serving_peers_have_a_configuration_and_are_not_stopping() {
     let mut peers = PeerTable::new(OWN, []);
-    peers.heard(&digest(address(1), false), 7);
-    peers.heard(&Digest { configuration: None, ..digest(address(2), false) }, 7);
-    peers.heard(&Digest { stopping: true, ..digest(address(3), false) }, 7);
-    let serving: Vec<_> = peers.serving().map(|peer| (peer.address, peer.heard_at)).collect();
+    peers.record_digest(&digest(address(1), false), 7);
+    peers.record_digest(&Digest { configuration: None, ..digest(address(2), false) }, 7);
+    peers.record_digest(&Digest { stopping: true, ..digest(address(3), false) }, 7);
+    let serving: Vec<_> = peers.serving().map(|peer| (peer.address, peer.last_seen_at)).collect();
     assert_eq!(serving, vec![(address(1), 7)]);
 }
 
@@ -84,28 +86,28 @@
 fn advertised_balancers_are_known_but_not_advertised_further() {
     let mut peers = PeerTable::new(OWN, []);
     let advertising = Digest { balancers: vec![address(9).to_bits()], ..digest(address(1), false) };
-    peers.heard(&advertising, 0);
+    peers.record_digest(&advertising, 0);
     assert_eq!(peers.balancers().collect::<Vec<_>>(), vec![address(1), address(9)]);
     // An advertised balancer is not advertised further until a digest from it has arrived.
-    assert_eq!(peers.named_in_digest(0), vec![address(1).to_bits()]);
+    assert_eq!(peers.balancers_to_advertise(0), vec![address(1).to_bits()]);
 }
 
 #[test]
 fn rank_counts_only_lower_balancers() {
     let mut peers = PeerTable::new(OWN, []);
-    peers.heard(&digest(address(1), true), 0);
-    peers.heard(&digest(address(9), true), 0);
-    peers.heard(&Digest { role: PeerRole::Agent, ..digest(address(2), false) }, 0);
+    peers.record_digest(&digest(address(1), true), 0);
+    peers.record_digest(&digest(address(9), true), 0);
+    peers.record_digest(&Digest { role: PeerRole::Agent, ..digest(address(2), false) }, 0);
     assert_eq!(peers.rank(), 1);
-    assert!(peers.lower_reader(100, 1_000));
-    assert!(!peers.lower_reader(1_100, 1_000));
+    assert!(peers.has_lower_reader(100, 1_000));
+    assert!(!peers.has_lower_reader(1_100, 1_000));
 }
 
 #[test]
 fn reader_with_higher_address_is_ignored() {
     let mut peers = PeerTable::new(OWN, []);
-    peers.heard(&digest(address(9), true), 0);
-    assert!(!peers.lower_reader(10, 1_000));
+    peers.record_digest(&digest(address(9), true), 0);
+    assert!(!peers.has_lower_reader(10, 1_000));
 }
 
 #[test]
@@ -117,7 +119,7 @@
 fn reader_continues_until_a_lower_one_reads() {
     assert!(should_read(&ReaderInputs { reading: true, ..inputs() }, &Timing::default()));
     assert!(!should_read(
-        &ReaderInputs { reading: true, lower_reader: true, ..inputs() },
+        &ReaderInputs { reading: true, has_lower_reader: true, ..inputs() },
         &Timing::default()
     ));
 }
@@ -139,7 +141,7 @@
         uptime_ms,
         age_ms: None,
         rank: 3,
-        lower_reader: true,
+        has_lower_reader: true,
         ..inputs()
     };
     assert!(!should_read(&without_state(0), &Timing::default()));
@@ -190,10 +192,10 @@
 #[test]
 fn digest_is_requested_long_before_a_peer_expires() {
     let mut peers = PeerTable::new(OWN, []);
-    assert!(peers.is_due(address(1), 0));
-    peers.heard(&digest(address(1), false), 0);
-    assert!(!peers.is_due(address(1), 1_900));
-    assert!(peers.is_due(address(1), 2_000));
+    assert!(peers.needs_digest_request(address(1), 0));
+    peers.record_digest(&digest(address(1), false), 0);
+    assert!(!peers.needs_digest_request(address(1), 1_900));
+    assert!(peers.needs_digest_request(address(1), 2_000));
     peers.expire(2_500);
     assert_eq!(peers.balancers().count(), 1);
 }
@@ -224,12 +226,12 @@
 fn only_recently_seen_serving_peers_report_overload() {
     let mut table = PeerTable::new(address(9), []);
     let overloaded = |peer, overloaded| Digest { overloaded, ..digest(address(peer), false) };
-    table.heard(&overloaded(1, true), 100);
-    table.heard(&overloaded(2, false), 1_000);
-    table.heard(&overloaded(3, true), 1_000);
-    table.heard(&Digest { stopping: true, ..digest(address(4), false) }, 1_000);
-    table.heard(&Digest { configuration: None, ..digest(address(5), false) }, 1_000);
-    let recently_seen = table.serving().filter(|peer| peer.was_heard_within(700, 1_200));
+    table.record_digest(&overloaded(1, true), 100);
+    table.record_digest(&overloaded(2, false), 1_000);
+    table.record_digest(&overloaded(3, true), 1_000);
+    table.record_digest(&Digest { stopping: true, ..digest(address(4), false) }, 1_000);
+    table.record_digest(&Digest { configuration: None, ..digest(address(5), false) }, 1_000);
+    let recently_seen = table.serving().filter(|peer| peer.was_seen_within(700, 1_200));
     let reports: Vec<_> = recently_seen.map(|peer| (peer.address, peer.overloaded)).collect();
     assert_eq!(reports, [(address(2), false), (address(3), true)]);
 }
@@ -239,7 +241,7 @@
 #[test]
 fn one_verification_read_in_ten_seconds_for_any_fleet_size() {
     for balancers in [4_usize, 91, 1_000] {
-        let mut schedules = vec![CheckSchedule::default(); balancers];
+        let mut schedules = vec![VerificationSchedule::default(); balancers];
         let (mut checks, mut random) = (0, 1_u64);
         let end = 600_000;
         for now in (0..end).step_by(1_000) {
@@ -261,9 +263,9 @@
 
 #[test]
 fn due_verification_read_happens_despite_fresh_state() {
-    let fresh = ReaderInputs { age_ms: Some(100), lower_reader: true, ..inputs() };
+    let fresh = ReaderInputs { age_ms: Some(100), has_lower_reader: true, ..inputs() };
     assert!(!should_read(&fresh, &Timing::default()));
-    assert!(should_read(&ReaderInputs { checks: true, ..fresh }, &Timing::default()));
+    assert!(should_read(&ReaderInputs { verification_due: true, ..fresh }, &Timing::default()));
 }
 
 #[test]
--- a/crates/fleet/tests/restored_store.rs
+++ b/crates/fleet/tests/restored_store.rs
@@ -70,7 +70,7 @@
 fn end_hold(replica: &mut Replica) -> Vec<Change> {
     let now = 500 + HOLD_MS;
     replica.confirm(replica.position(), 0, now);
-    replica.settle(now)
+    replica.expire_hold(now)
 }
 
 /// The state of the target, if its record counts as present in the store.
@@ -141,15 +141,15 @@
     for replica in [&mut renewed, &mut unrenewed] {
         let changes = replica.apply(listing(NEW_ERA, 30, Vec::new()), 500);
         assert_eq!((state(replica), changes), (Some(TargetState::Ready), Vec::new()));
-        assert_eq!(replica.kept().unrenewed, 1);
+        assert_eq!(replica.restore_conflicts().unrenewed, 1);
     }
     let renewal = version_of((NEW_ERA, 31), record(1, 4, TargetState::Ready));
     assert!(renewed.apply(events(NEW_ERA, 30, 31, vec![renewal]), 1_400).is_empty());
     assert!(end_hold(&mut renewed).is_empty());
     assert_eq!(state(&renewed), Some(TargetState::Ready));
-    assert!(unrenewed.settle(499 + HOLD_MS).is_empty(), "too early");
+    assert!(unrenewed.expire_hold(499 + HOLD_MS).is_empty(), "too early");
     assert!(
-        unrenewed.settle(500 + HOLD_MS).is_empty(),
+        unrenewed.expire_hold(500 + HOLD_MS).is_empty(),
         "the store has not confirmed anything since"
     );
     assert!(matches!(end_hold(&mut unrenewed)[..], [Change::Removed { .. }]));
@@ -161,7 +161,7 @@
     replica.apply(events(OLD_ERA, 60, 61, vec![removal((OLD_ERA, 61))]), 100);
     let restored = version_of((NEW_ERA, 40), record(1, 5, TargetState::Ready));
     replica.apply(listing(NEW_ERA, 50, vec![restored]), 500);
-    assert_eq!((state(&replica), replica.kept().disputed), (None, 1));
+    assert_eq!((state(&replica), replica.restore_conflicts().disputed), (None, 1));
     // The store drops the entry of an unresponsive target ...
     let mut dropped = replica.clone();
     dropped.apply(events(NEW_ERA, 50, 52, vec![removal((NEW_ERA, 52))]), 1_000);
@@ -245,7 +245,7 @@
     // The backup lacks the evacuation of `a` and the end of the evacuation of `b`.
     let changes = replica.apply(with_zones(&["b"], listing(NEW_ERA, 30, Vec::new())), 500);
     assert_eq!((evacuated(&replica).as_str(), changes.len()), ("a", 0));
-    assert_eq!(replica.kept().zones, 2);
+    assert_eq!(replica.restore_conflicts().zones, 2);
     let mut rewritten = replica.clone();
     rewritten.apply(with_zones(&["a", "b"], events(NEW_ERA, 30, 31, Vec::new())), 600);
     rewritten.apply(with_zones(&["a"], events(NEW_ERA, 31, 32, Vec::new())), 610);
@@ -290,9 +290,9 @@
 fn disconnected_daemon_accepts_the_last_update_after_a_limit() {
     let mut replica = replica_with(version_of((OLD_ERA, 55), record(1, 2, TargetState::Ready)));
     replica.apply(listing(NEW_ERA, 30, Vec::new()), 500);
-    assert!(replica.settle(500 + 5 * HOLD_MS - 1).is_empty());
-    assert!(matches!(replica.settle(500 + 5 * HOLD_MS)[..], [Change::Removed { .. }]));
-    assert!(replica.settle(500 + 6 * HOLD_MS).is_empty(), "reported once");
+    assert!(replica.expire_hold(500 + 5 * HOLD_MS - 1).is_empty());
+    assert!(matches!(replica.expire_hold(500 + 5 * HOLD_MS)[..], [Change::Removed { .. }]));
+    assert!(replica.expire_hold(500 + 6 * HOLD_MS).is_empty(), "reported once");
 }
 
 #[test]
--- a/crates/fleet/tests/store_model/daemons.rs
+++ b/crates/fleet/tests/store_model/daemons.rs
@@ -203,9 +203,9 @@
         }
     }
 
-    fn settle(&mut self, now: u64) {
+    fn expire_holds(&mut self, now: u64) {
         for daemon in &mut self.daemons {
-            daemon.replica.settle(now);
+            daemon.replica.expire_hold(now);
         }
     }
 
@@ -216,7 +216,7 @@
         world.is_cut_from_peers = [false; DAEMONS];
         for _ in 0..CONVERGENCE_TIME_MS / 500 {
             world = World::apply(world, &Step::Pass(500));
-            self.settle(world.now);
+            self.expire_holds(world.now);
             self.read(&world, 0);
             for index in 1..DAEMONS {
                 self.fetch(&world, index, index - 1);
@@ -365,7 +365,7 @@
             Step::RestartDaemon(index) => fleet.daemons[index] = Daemon::new(),
             _ => {}
         }
-        fleet.settle(world.now);
+        fleet.expire_holds(world.now);
         fleet.check(world);
         fleet
     }
--- a/crates/relay/src/fleet_node/change_log.rs
+++ b/crates/relay/src/fleet_node/change_log.rs
@@ -8,10 +8,10 @@
 impl FleetNode {
     /// Logs what is kept against a restored store during the hold period.
     pub(super) fn log_hold(&self) {
-        let kept = self.replica.kept();
+        let conflicts = self.replica.restore_conflicts();
         info!(self.log, "fleet: hold period after a store restore began"; "event" => "store_hold",
-            "era" => self.replica.position().era, "unrenewed" => kept.unrenewed,
-            "disputed" => kept.disputed, "zones" => kept.zones,
+            "era" => self.replica.position().era, "unrenewed" => conflicts.unrenewed,
+            "disputed" => conflicts.disputed, "zones" => conflicts.zones,
             "hold_ms" => self.timing.settle_ms);
     }
 
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -54,7 +54,7 @@
     /// Records that changed in the store and of which the targets' agents were not notified yet.
     pending_records: Vec<VersionedTarget>,
     /// When this balancer makes verification reads of the store.
-    verification: Cell<reader::CheckSchedule>,
+    verification: Cell<reader::VerificationSchedule>,
     /// Whether this daemon reads the store on behalf of the others.
     pub reading: bool,
     zone: ZoneId,
@@ -193,14 +193,16 @@
             age_ms: self.replica.age(now),
             reading: self.reading,
             reply,
-            balancers: self.peers.named_in_digest(self.random.borrow_mut().random_range(0..1_024)),
+            balancers: self
+                .peers
+                .balancers_to_advertise(self.random.borrow_mut().random_range(0..1_024)),
             target: self.claim.clone(),
         }
     }
 
     /// Processes a peer's digest. Returns the actions that follow from it.
     pub fn on_digest(&mut self, digest: &Digest, now: Millis) -> Reaction {
-        let is_new = self.peers.heard(digest, now);
+        let is_new = self.peers.record_digest(digest, now);
         if is_new {
             info!(self.log, "fleet: peer found"; "event" => "peer_found",
                 "peer" => Ipv4Addr::from_bits(digest.sender).to_string(),
@@ -231,7 +233,7 @@
     /// Returns the record of the sender's target if the digest reports that its agent does not have
     /// it.
     fn record_for(&self, digest: &Digest) -> Option<VersionedTarget> {
-        digest.target.as_ref().filter(|claim| !claim.recorded)?;
+        digest.target.as_ref().filter(|status| !status.recorded)?;
         let is_own = |target: &&VersionedTarget| {
             let record = target.record.as_ref().filter(|_| target.present);
             record.is_some_and(|record| record.address == digest.sender)
@@ -254,7 +256,7 @@
             }
             PeerRole::Agent => {
                 digest.configuration < self.replica.version()
-                    || self.replica.stored_zones().is_news_for(&digest.evacuated)
+                    || self.replica.stored_zones().has_updates_for(&digest.evacuated)
             }
         }
     }
@@ -322,8 +324,10 @@
             age_ms: self.replica.age(now),
             rank: self.peers.rank(),
             reading: self.reading,
-            lower_reader: self.peers.lower_reader(now, self.timing.reader_word_ms),
-            checks: self.is_verification_due(now),
+            has_lower_reader: self
+                .peers
+                .has_lower_reader(now, self.timing.reader_report_lifetime_ms),
+            verification_due: self.is_verification_due(now),
         };
         reader::should_read(&inputs, &self.timing)
     }
@@ -371,7 +375,7 @@
     /// Handles changes caused by the passage of time: the known state becomes stale, and the hold
     /// period after a restore of the store ends.
     pub fn check_freshness(&mut self, now: Millis) {
-        let changes = self.replica.settle(now);
+        let changes = self.replica.expire_hold(now);
         self.handle_changes(&changes, "hold over", now);
         self.update_freshness(now);
     }
--- a/crates/relay/src/fleet_node/peer_selection.rs
+++ b/crates/relay/src/fleet_node/peer_selection.rs
@@ -67,7 +67,7 @@
 
     /// Returns the balancers of this zone with far more processor time than this one.
     pub fn helpers(&self) -> Vec<Ipv4Addr> {
-        self.capable().map(|(address, _)| address).collect()
+        self.capable_helpers().map(|(address, _)| address).collect()
     }
 
     /// Returns the balancers to which packets of unknown flows are handed off: those that have a
@@ -81,8 +81,8 @@
         if !is_under_pressure {
             return Vec::new();
         }
-        let is_recent = |heard_at: Millis| now.saturating_sub(heard_at) < HELPER_TIMEOUT_MS;
-        let capable = self.capable().filter(|(_, heard_at)| is_recent(*heard_at));
+        let is_recent = |last_seen_at: Millis| now.saturating_sub(last_seen_at) < HELPER_TIMEOUT_MS;
+        let capable = self.capable_helpers().filter(|(_, last_seen_at)| is_recent(*last_seen_at));
         let capable: Vec<Ipv4Addr> = capable.map(|(address, _)| address).collect();
         if capable.is_empty() && self.overloaded {
             return self.serving_helpers(|peer| !peer.overloaded, now);
@@ -95,7 +95,7 @@
         is_eligible: impl Fn(&ServingPeer) -> bool,
         now: Millis,
     ) -> Vec<Ipv4Addr> {
-        let is_responsive = |peer: &ServingPeer| peer.was_heard_within(HELPER_TIMEOUT_MS, now);
+        let is_responsive = |peer: &ServingPeer| peer.was_seen_within(HELPER_TIMEOUT_MS, now);
         // Packets of some routes must not leave the region.
         let shares_region = |peer: &ServingPeer| self.locality.shares_region(peer.zone);
         let eligible = self.peers.serving();
@@ -115,7 +115,7 @@
     pub fn peer_load(&self, now: Millis) -> PeerLoad {
         let mut load = PeerLoad::default();
         for peer in
-            self.peers.serving().filter(|peer| peer.was_heard_within(LOAD_REPORT_LIFETIME_MS, now))
+            self.peers.serving().filter(|peer| peer.was_seen_within(LOAD_REPORT_LIFETIME_MS, now))
         {
             let count = if peer.overloaded { &mut load.overloaded } else { &mut load.keeping_up };
             *count += 1;
@@ -133,11 +133,11 @@
         self.peers.in_zone(self.zone).collect()
     }
 
-    fn capable(&self) -> impl Iterator<Item = (Ipv4Addr, Millis)> {
+    fn capable_helpers(&self) -> impl Iterator<Item = (Ipv4Addr, Millis)> {
         // Without its own capacity a daemon has nothing to compare with.
         let min_capacity =
             self.capacity.map_or(u32::MAX, |own| own.saturating_mul(HELPER_CAPACITY_RATIO));
-        self.peers.capable(self.zone, min_capacity)
+        self.peers.capable_in_zone(self.zone, min_capacity)
     }
 
     /// Returns the peers to send a digest to at this tick, each with whether a digest is requested
@@ -165,7 +165,8 @@
         receivers.sort();
         receivers.dedup();
         let has_no_state = self.replica.position().is_start();
-        let requests_digest = |receiver| has_no_state || self.peers.is_due(receiver, now);
+        let requests_digest =
+            |receiver| has_no_state || self.peers.needs_digest_request(receiver, now);
         receivers.into_iter().map(|receiver| (receiver, requests_digest(receiver))).collect()
     }
 
