--- a/crates/fleet/src/era_hold.rs
+++ b/crates/fleet/src/era_hold.rs
@@ -7,7 +7,8 @@
 /// Number of further hold periods after which a daemon without confirmation from the store accepts
 /// the last state it received. By then it has been disconnected for about 12 s, or it is an agent,
 /// which follows only configurations.
-const MAX_HOLD_PERIODS: u64 = 4;
+const MAX_EXTRA_HOLD_PERIODS: u64 = 4;
+
 /// State of the hold period for the newest era of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EraHold {
@@ -37,11 +38,11 @@
     /// Whether the hold period, which lasts at least `hold_ms`, is over. It ends when the store has
     /// confirmed the daemon's state after that time, since all writes made in the meantime are
     /// known then. A daemon without such a confirmation keeps its earlier state, for
-    /// [`MAX_HOLD_PERIODS`] further periods at most. `confirmed_at` is the time on this process's
+    /// [`MAX_EXTRA_HOLD_PERIODS`] further periods at most. `confirmed_at` is the time on this process's
     /// clock at which the store last confirmed the state of its newest era.
     pub(crate) fn is_over(&self, hold_ms: Millis, confirmed_at: Option<i64>, now: Millis) -> bool {
         let Some(until) = self.until else { return false };
         let is_confirmed = confirmed_at.is_some_and(|at| i128::from(at) >= i128::from(until));
-        is_confirmed || now >= until + MAX_HOLD_PERIODS * hold_ms
+        is_confirmed || now >= until + MAX_EXTRA_HOLD_PERIODS * hold_ms
     }
 }
--- a/crates/fleet/src/evacuation.rs
+++ b/crates/fleet/src/evacuation.rs
@@ -36,14 +36,14 @@
 
 /// An update about evacuated zones from the store or a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum ZoneNews {
+pub enum ZoneUpdate {
     /// The changes in the range that the enclosing update covers.
     Changes(Vec<ZoneChange>),
     /// The complete set.
     Whole(EvacuatedZones),
 }
 
-impl Default for ZoneNews {
+impl Default for ZoneUpdate {
     fn default() -> Self {
         Self::Changes(Vec::new())
     }
@@ -84,13 +84,13 @@
     /// the update is older than this set or would leave a gap.
     pub(crate) fn updated(
         &self,
-        update: ZoneNews,
+        update: ZoneUpdate,
         after: Position,
         through: Position,
     ) -> Option<Self> {
         match update {
-            ZoneNews::Whole(zones) => (zones.as_of > self.as_of).then_some(zones),
-            ZoneNews::Changes(changes) => {
+            ZoneUpdate::Whole(zones) => (zones.as_of > self.as_of).then_some(zones),
+            ZoneUpdate::Changes(changes) => {
                 let is_gapless = after <= self.as_of && through > self.as_of;
                 is_gapless.then(|| self.with_changes(changes, through))
             }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -21,10 +21,10 @@
 mod timing;
 mod update;
 
-pub use evacuation::{EvacuatedZones, ZoneChange, ZoneNews};
+pub use evacuation::{EvacuatedZones, ZoneChange, ZoneUpdate};
 pub use message::{
     Digest, FetchRequest, FetchScope, MessageError, OpeningDemand, PeerMessage, PeerRole,
-    ReturnReason, SearchPath, TargetClaim, TargetLoad, WaitingOpenings, decode, encode,
+    ReturnReason, SearchPath, TargetLoad, TargetStatus, WaitingOpenings, decode, encode,
 };
 pub use model::{
     ColdStartPolicy, Configuration, RegionId, Route, RoutePart, ServiceId, TargetRecord,
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -80,7 +80,7 @@
 
 /// Status of a target as reported by its agent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct TargetClaim {
+pub struct TargetStatus {
     /// The service that the target belongs to.
     pub service: String,
     /// Whether the target has shown activity recently.
@@ -127,7 +127,7 @@
     /// Addresses of some balancers from which the sender recently received a digest.
     pub balancers: Vec<u32>,
     /// Status of the sender's target, if the sender is an agent.
-    pub target: Option<TargetClaim>,
+    pub target: Option<TargetStatus>,
 }
 
 /// A request to a peer, over a stream, for all changes after a position.
--- a/crates/fleet/src/reader.rs
+++ b/crates/fleet/src/reader.rs
@@ -34,7 +34,7 @@
 /// Returns the backoff after a number of consecutive failed calls. `fraction` is a random number in
 /// [0, 1). While the store is down, all balancers try to read; together they call it about ten
 /// times per second, for any number of balancers up to 50.
-pub fn wait_after_failure(failures: u32, balancers: usize, fraction: f64) -> Millis {
+pub fn retry_backoff(failures: u32, balancers: usize, fraction: f64) -> Millis {
     let initial = INITIAL_BACKOFF_MS << failures.saturating_sub(1).min(STORE_OUTAGE_FAILURES);
     if failures < STORE_OUTAGE_FAILURES {
         return (initial as f64 * (0.7 + 0.6 * fraction)) as Millis;
--- a/crates/fleet/src/removal_history.rs
+++ b/crates/fleet/src/removal_history.rs
@@ -7,6 +7,7 @@
 /// Maximum number of gaps remembered, 32 bytes each. Peers at a position before a forgotten gap get
 /// a complete update.
 const MAX_GAPS: usize = 4;
+
 /// The ranges of positions for which removals may be missing: those whose removals were forgotten,
 /// and those bridged by a listing, which does not show targets that were added and removed in
 /// between.
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -4,7 +4,7 @@
 
 use crate::Millis;
 use crate::era_hold::EraHold;
-use crate::evacuation::{EvacuatedZones, ZoneNews};
+use crate::evacuation::{EvacuatedZones, ZoneUpdate};
 use crate::message::{FetchRequest, FetchScope};
 use crate::position::Position;
 use crate::removal_history::RemovalHistory;
@@ -20,7 +20,7 @@
 /// during the hold period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestoreConflicts {
-    /// Targets that are missing from the backup.
+    /// Targets that are missing from the backup and were not renewed since.
     pub unrenewed: usize,
     /// Targets whose records in the backup conflict with the known state.
     pub disputed: usize,
@@ -58,7 +58,7 @@
 
 impl Default for Replica {
     fn default() -> Self {
-        Self::with_hold(Timing::default().settle_ms)
+        Self::with_hold(Timing::default().renewal_grace_ms)
     }
 }
 
@@ -270,7 +270,7 @@
                 })
                 .cloned(),
             targets: wanted.cloned().collect(),
-            zones: ZoneNews::Whole(self.stored_zones.clone()),
+            zones: ZoneUpdate::Whole(self.stored_zones.clone()),
         }
     }
 
@@ -279,7 +279,7 @@
     pub fn configuration_only(&self) -> Update {
         Update {
             configuration: self.configuration.clone(),
-            zones: ZoneNews::Whole(self.stored_zones.clone()),
+            zones: ZoneUpdate::Whole(self.stored_zones.clone()),
             ..Update::default()
         }
     }
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -43,7 +43,7 @@
     /// Maximum wait of a watch. An answer without changes confirms the known state.
     pub watch_wait_ms: Millis,
     /// Minimum time between two watches, so that changes in quick succession share a call.
-    pub watch_spacing_ms: Millis,
+    pub min_watch_interval_ms: Millis,
     /// Age of the known state from which a balancer reads the store itself. It exceeds the wait of
     /// a watch, so that a second balancer does not start reading beside a working reader.
     pub read_after_ms: Millis,
@@ -60,7 +60,7 @@
     /// How long targets without a record may get flows after the known state became fresh again;
     /// targets that are alive have renewed their records by then. This is also the hold period
     /// during which a store restored from a backup does not override what was known before.
-    pub settle_ms: Millis,
+    pub renewal_grace_ms: Millis,
     /// How long a target whose record disappeared without notice may still get flows if its service
     /// has no other target.
     pub vanished_grace_ms: Millis,
@@ -76,14 +76,14 @@
         let renewal_time = bounds.renewal_ms * 9 / 4;
         Self {
             watch_wait_ms: wait,
-            watch_spacing_ms: wait / 4,
+            min_watch_interval_ms: wait / 4,
             read_after_ms: wait * 27 / 20,
             rank_delay_ms: wait * 12 / 100,
             max_rank_delay_ms: wait * 48 / 100,
             reader_report_lifetime_ms: wait * 13 / 10,
             fresh_ms: wait * 18 / 10,
             stale_ms: wait * 5 / 2,
-            settle_ms: renewal_time.min(bounds.drain_ms * 5 / 6),
+            renewal_grace_ms: renewal_time.min(bounds.drain_ms * 5 / 6),
             vanished_grace_ms: bounds.drain_ms / 2,
         }
     }
--- a/crates/fleet/src/update.rs
+++ b/crates/fleet/src/update.rs
@@ -3,7 +3,7 @@
 use musli::{Decode, Encode};
 
 use crate::Millis;
-use crate::evacuation::ZoneNews;
+use crate::evacuation::ZoneUpdate;
 use crate::model::{Configuration, TargetRecord};
 use crate::position::Position;
 use crate::target_entry::VersionedTarget;
@@ -40,7 +40,7 @@
     /// Targets that changed within the range.
     pub targets: Vec<VersionedTarget>,
     /// Evacuated zones.
-    pub zones: ZoneNews,
+    pub zones: ZoneUpdate,
 }
 
 impl Update {
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use weirhinge_fleet::{
     Change, EvacuatedZones, FetchRequest, FetchScope, Position, Replica, Update, ZoneChange,
-    ZoneNews,
+    ZoneUpdate,
 };
 
 fn at(revision: u64) -> Position {
@@ -15,7 +15,7 @@
 }
 
 fn listing(through: u64, names: &[&str]) -> Update {
-    let zones = ZoneNews::Whole(zones(through, names));
+    let zones = ZoneUpdate::Whole(zones(through, names));
     Update { through: at(through), complete: true, zones, ..Update::default() }
 }
 
@@ -25,7 +25,7 @@
         position: at(*revision),
         begins: *begins,
     });
-    let zones = ZoneNews::Changes(changes.collect());
+    let zones = ZoneUpdate::Changes(changes.collect());
     Update { after: at(after), through: at(through), zones, ..Update::default() }
 }
 
@@ -124,7 +124,7 @@
             if is_digest {
                 replica.learn_evacuated(&complete(state_index), 0);
             } else {
-                replica.apply(Update { zones: ZoneNews::Whole(complete(state_index)), ..Update::default() }, 0);
+                replica.apply(Update { zones: ZoneUpdate::Whole(complete(state_index)), ..Update::default() }, 0);
             }
             newest = newest.max(Some(state_index));
             let expected = newest.map(complete).unwrap_or_default();
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -3,9 +3,7 @@
 use std::net::Ipv4Addr;
 
 use proptest::prelude::*;
-use weirhinge_fleet::reader::{
-    ReaderInputs, VerificationSchedule, should_read, wait_after_failure,
-};
+use weirhinge_fleet::reader::{ReaderInputs, VerificationSchedule, retry_backoff, should_read};
 use weirhinge_fleet::{
     Bounds, Digest, EvacuatedZones, MessageError, Millis, PEER_TIMEOUT_MS, PeerMessage, PeerRole,
     PeerTable, Position, SearchPath, Timing, ZoneId, decode, encode,
@@ -218,7 +216,7 @@
         let age_ms = Some(timing.watch_wait_ms + timing.watch_wait_ms / 4);
         let working = ReaderInputs { age_ms, rank, ..inputs() };
         prop_assert!(!should_read(&working, &timing));
-        prop_assert!(timing.settle_ms < drain_ms && timing.vanished_grace_ms < drain_ms);
+        prop_assert!(timing.renewal_grace_ms < drain_ms && timing.vanished_grace_ms < drain_ms);
     }
 }
 
@@ -271,7 +269,7 @@
 #[test]
 fn first_retries_follow_soon() {
     for balancers in [1, 19, 1_000] {
-        let waits = [1, 2].map(|failures| wait_after_failure(failures, balancers, 0.5));
+        let waits = [1, 2].map(|failures| retry_backoff(failures, balancers, 0.5));
         assert_eq!(waits, [60, 120]);
     }
 }
@@ -282,7 +280,7 @@
 fn failed_store_is_called_about_ten_times_per_second() {
     let fractions = (0..100).map(|step| f64::from(step) / 100.0);
     for (balancers, limit) in [(1, 12.0), (19, 11.0), (91, 20.0), (1_000, 205.0)] {
-        let waits = fractions.clone().map(|fraction| wait_after_failure(5, balancers, fraction));
+        let waits = fractions.clone().map(|fraction| retry_backoff(5, balancers, fraction));
         let mean = waits.sum::<Millis>() as f64 / 100.0;
         let calls_per_second = balancers as f64 * 1_000.0 / mean;
         assert!(
--- a/crates/fleet/tests/restored_store.rs
+++ b/crates/fleet/tests/restored_store.rs
@@ -3,7 +3,7 @@
 
 use weirhinge_fleet::{
     Change, Configuration, EvacuatedZones, FetchRequest, FetchScope, Position, Replica,
-    TargetRecord, TargetState, Update, VersionedConfiguration, VersionedTarget, ZoneNews,
+    TargetRecord, TargetState, Update, VersionedConfiguration, VersionedTarget, ZoneUpdate,
 };
 
 /// Hold period of a new era.
@@ -43,7 +43,7 @@
 
 fn listing(era: u64, through: u64, targets: Vec<VersionedTarget>) -> Update {
     let through = Position::new(era, through);
-    let zones = ZoneNews::Whole(EvacuatedZones::new(through, []));
+    let zones = ZoneUpdate::Whole(EvacuatedZones::new(through, []));
     Update { complete: true, through, targets, zones, ..Update::default() }
 }
 
@@ -56,7 +56,7 @@
 
 fn with_zones(names: &[&str], update: Update) -> Update {
     let names = names.iter().map(|name| (*name).to_owned());
-    Update { zones: ZoneNews::Whole(EvacuatedZones::new(update.through, names)), ..update }
+    Update { zones: ZoneUpdate::Whole(EvacuatedZones::new(update.through, names)), ..update }
 }
 
 /// A replica that knows one version of the target.
--- a/crates/fleet/tests/store_model/daemons.rs
+++ b/crates/fleet/tests/store_model/daemons.rs
@@ -5,7 +5,7 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use weirhinge_fleet::{
     Configuration, EvacuatedZones, FetchRequest, FetchScope, Position, Replica, TargetRecord,
-    TargetState, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
+    TargetState, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneUpdate,
 };
 
 use crate::world::{DAEMONS, Entry, Event, Step, World, ZONES};
@@ -131,7 +131,7 @@
             after: known,
             through,
             complete,
-            zones: ZoneNews::Changes(Vec::new()),
+            zones: ZoneUpdate::Changes(Vec::new()),
             ..Update::default()
         };
         let events: Vec<(u64, Event)> = match complete {
@@ -162,9 +162,9 @@
         update.zones = match complete {
             true => {
                 let listed = zones.into_iter().map(|change| change.zone);
-                ZoneNews::Whole(EvacuatedZones::new(through, listed))
+                ZoneUpdate::Whole(EvacuatedZones::new(through, listed))
             }
-            false => ZoneNews::Changes(zones),
+            false => ZoneUpdate::Changes(zones),
         };
         update
     }
--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -13,7 +13,7 @@
 use eyre::WrapErr;
 use slog::{Logger, info};
 use tokio::net::{TcpStream, UdpSocket};
-use weirhinge_fleet::{Millis, PeerRole, ServiceId, TargetClaim};
+use weirhinge_fleet::{Millis, PeerRole, ServiceId, TargetStatus};
 use weirhinge_steering::{Agent, ColdStartRate};
 
 use crate::base::Base;
@@ -225,7 +225,7 @@
         self.metrics.waiting.set(i64::from(core.waiting()));
         self.metrics.flows.set(core.flow_count() as i64);
         self.metrics.balancers_asking.set(core.asking() as i64);
-        self.node.borrow_mut().claim = Some(TargetClaim {
+        self.node.borrow_mut().target_status = Some(TargetStatus {
             service: self.service.clone(),
             alive: !self.target_gone.get(),
             load: core.load(now),
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -192,7 +192,7 @@
                 }
                 self.link.on_digest(&digest, sender);
                 self.note_regained();
-                if self.node.borrow().knows_nothing() {
+                if self.node.borrow().has_no_configuration() {
                     self.choose_helpers(now);
                 }
             }
@@ -331,7 +331,7 @@
     /// After the store's word was lost, living targets may lack records: their
     /// agents are asked.
     fn note_regained(&self) {
-        let regained = self.node.borrow_mut().take_regained();
+        let regained = self.node.borrow_mut().take_view_regained();
         if let Some(regained_at) = regained {
             self.core.borrow_mut().store_regained(regained_at);
             self.link.ask_agents();
@@ -349,7 +349,7 @@
                 core.expire(node.view(), now);
                 self.metrics.flows.set(core.flow_count() as i64);
             }
-            let eager = self.node.borrow().knows_nothing() && now < EAGER_MS;
+            let eager = self.node.borrow().has_no_configuration() && now < EAGER_MS;
             tokio::time::sleep(if eager { EAGER_TICK } else { TICK }).await;
         }
     }
--- a/crates/relay/src/balancer/watch.rs
+++ b/crates/relay/src/balancer/watch.rs
@@ -103,7 +103,7 @@
     /// Brings the helpers up to date.
     pub(super) fn choose_helpers(&self, now: Millis) {
         let pressed = self.backlog.borrow().is_pressed(now);
-        let helpers = self.node.borrow().helpers_now(pressed, now);
+        let helpers = self.node.borrow().available_helpers(pressed, now);
         if *self.helpers.borrow() != helpers {
             let names: Vec<String> = helpers.iter().map(Ipv4Addr::to_string).collect();
             info!(self.log, "balancer: helpers changed"; "event" => "helpers",
--- a/crates/relay/src/fleet_node/change_log.rs
+++ b/crates/relay/src/fleet_node/change_log.rs
@@ -12,7 +12,7 @@
         info!(self.log, "fleet: hold period after a store restore began"; "event" => "store_hold",
             "era" => self.replica.position().era, "unrenewed" => conflicts.unrenewed,
             "disputed" => conflicts.disputed, "zones" => conflicts.zones,
-            "hold_ms" => self.timing.settle_ms);
+            "hold_ms" => self.timing.renewal_grace_ms);
     }
 
     pub(super) fn log_change(&self, change: &Change, source: &str, now: Millis) {
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -12,7 +12,7 @@
 use slog::{Logger, info};
 use weirhinge_fleet::{
     Change, Digest, FetchRequest, FetchScope, Millis, PeerRole, PeerTable, Position, Replica,
-    TargetClaim, Timing, Update, VersionedTarget, ZoneId, reader,
+    TargetStatus, Timing, Update, VersionedTarget, ZoneId, reader,
 };
 use weirhinge_steering::{FleetView, Locality};
 
@@ -26,14 +26,14 @@
 
 /// The actions that follow from a digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Reaction {
+pub struct DigestActions {
     /// The daemon to fetch from, if the sender knows more: the sender itself, or another daemon
     /// that is likely to know as much.
     pub fetch_from: Option<Ipv4Addr>,
     /// Whether to reply with a digest, because the sender knows less or requests one.
     pub reply: bool,
     /// Whether to propagate a digest to other peers, because this one brought new information.
-    pub spread: bool,
+    pub propagate: bool,
     /// The record of the sender's target, if the sender is an agent that lacks it.
     pub record: Option<VersionedTarget>,
 }
@@ -64,7 +64,7 @@
     /// Whether this balancer cannot keep up with its packets.
     pub overloaded: bool,
     /// The status that an agent reports of its target.
-    pub claim: Option<TargetClaim>,
+    pub target_status: Option<TargetStatus>,
     log: Logger,
 }
 
@@ -80,7 +80,7 @@
         Self {
             address,
             role,
-            replica: Replica::with_hold(settings.timing.settle_ms),
+            replica: Replica::with_hold(settings.timing.renewal_grace_ms),
             peers: PeerTable::new(address, settings.seeds.iter().copied()),
             view: FleetView::default(),
             is_view_fresh: false,
@@ -95,7 +95,7 @@
             capacity: settings.capacity,
             stopping: false,
             overloaded: false,
-            claim: None,
+            target_status: None,
             log,
         }
     }
@@ -132,7 +132,7 @@
 
     /// Returns when the known state became fresh again after it was stale, or when a restore of the
     /// store was detected. Each such time is returned once.
-    pub fn take_regained(&mut self) -> Option<Millis> {
+    pub fn take_view_regained(&mut self) -> Option<Millis> {
         self.view_regained_at.take()
     }
 
@@ -196,12 +196,12 @@
             balancers: self
                 .peers
                 .balancers_to_advertise(self.random.borrow_mut().random_range(0..1_024)),
-            target: self.claim.clone(),
+            target: self.target_status.clone(),
         }
     }
 
     /// Processes a peer's digest. Returns the actions that follow from it.
-    pub fn on_digest(&mut self, digest: &Digest, now: Millis) -> Reaction {
+    pub fn on_digest(&mut self, digest: &Digest, now: Millis) -> DigestActions {
         let is_new = self.peers.record_digest(digest, now);
         if is_new {
             info!(self.log, "fleet: peer found"; "event" => "peer_found",
@@ -222,10 +222,10 @@
             (Some(before), Some(after)) => before >= after + MIN_FRESHNESS_GAIN_MS,
             (before, after) => before.is_none() && after.is_some(),
         };
-        Reaction {
+        DigestActions {
             fetch_from: self.needs_fetch(digest).then(|| self.fetch_source(digest)),
             reply: is_new || digest.reply || self.has_updates_for(digest),
-            spread: (is_fresher || !evacuations.is_empty()) && self.role == PeerRole::Balancer,
+            propagate: (is_fresher || !evacuations.is_empty()) && self.role == PeerRole::Balancer,
             record: self.record_for(digest),
         }
     }
@@ -313,7 +313,7 @@
     }
 
     /// Takes the new records of which the targets' agents are to be notified.
-    pub fn take_recorded(&mut self) -> Vec<VersionedTarget> {
+    pub fn take_pending_records(&mut self) -> Vec<VersionedTarget> {
         std::mem::take(&mut self.pending_records)
     }
 
@@ -333,9 +333,9 @@
     }
 
     /// Returns the milliseconds to wait after a number of consecutive failed calls to the store.
-    pub fn wait_after_failure(&self, failures: u32) -> Millis {
+    pub fn retry_backoff(&self, failures: u32) -> Millis {
         let fraction = self.random.borrow_mut().random();
-        reader::wait_after_failure(failures, self.balancer_count(), fraction)
+        reader::retry_backoff(failures, self.balancer_count(), fraction)
     }
 
     /// Returns the number of known balancers, including this one.
--- a/crates/relay/src/fleet_node/peer_selection.rs
+++ b/crates/relay/src/fleet_node/peer_selection.rs
@@ -44,18 +44,18 @@
 
 impl FleetNode {
     /// Returns the peers to which new information is propagated immediately.
-    pub fn news_receivers(&self) -> Vec<Ipv4Addr> {
+    pub fn gossip_peers(&self) -> Vec<Ipv4Addr> {
         let balancers: Vec<Ipv4Addr> = self.peers.balancers().collect();
         self.choose(&balancers, GOSSIP_FANOUT)
     }
 
     /// Returns agents of known targets to be queried for the state of their targets.
-    pub fn agents_to_ask(&self) -> Vec<Ipv4Addr> {
+    pub fn agents_to_query(&self) -> Vec<Ipv4Addr> {
         self.choose(&self.view.agents(), AGENTS_QUERIED)
     }
 
     /// Returns the balancers to be notified when this agent's target has ended.
-    pub fn farewell_receivers(&self) -> Vec<Ipv4Addr> {
+    pub fn target_ended_recipients(&self) -> Vec<Ipv4Addr> {
         let balancers: Vec<Ipv4Addr> = self.peers.balancers().collect();
         self.choose(&balancers, MAX_TARGET_ENDED_RECIPIENTS)
     }
@@ -74,8 +74,8 @@
     /// configuration while this daemon has none; far stronger ones of the zone while this daemon is
     /// under pressure; and if there are none of those, any that keep up while this daemon is
     /// overloaded.
-    pub fn helpers_now(&self, is_under_pressure: bool, now: Millis) -> Vec<Ipv4Addr> {
-        if self.knows_nothing() {
+    pub fn available_helpers(&self, is_under_pressure: bool, now: Millis) -> Vec<Ipv4Addr> {
+        if self.has_no_configuration() {
             return self.serving_helpers(|_| true, now);
         }
         if !is_under_pressure {
@@ -105,7 +105,7 @@
     }
 
     /// Returns some balancers to be queried whether they keep up with their packets.
-    pub fn load_sample(&self) -> Vec<Ipv4Addr> {
+    pub fn load_query_peers(&self) -> Vec<Ipv4Addr> {
         let balancers: Vec<Ipv4Addr> = self.peers.balancers().collect();
         self.choose(&balancers, LOAD_QUERY_PEERS)
     }
@@ -124,7 +124,7 @@
     }
 
     /// Whether no configuration is known yet.
-    pub fn knows_nothing(&self) -> bool {
+    pub fn has_no_configuration(&self) -> bool {
         self.view.label().is_none()
     }
 
@@ -142,7 +142,7 @@
 
     /// Returns the peers to send a digest to at this tick, each with whether a digest is requested
     /// in return.
-    pub fn tick_receivers(&mut self, now: Millis) -> Vec<(Ipv4Addr, bool)> {
+    pub fn digest_recipients(&mut self, now: Millis) -> Vec<(Ipv4Addr, bool)> {
         self.peers.expire(now);
         let balancers: Vec<Ipv4Addr> = self.peers.balancers().collect();
         let contacts = match self.role {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -28,7 +28,7 @@
 pub use agent::run as run_agent;
 pub use backlog::Backlog;
 pub use balancer::run as run_balancer;
-pub use fleet_node::{FleetNode, Reaction};
+pub use fleet_node::{DigestActions, FleetNode};
 pub use platform::{AnswerBehind, ListPage, Platform, RejectReason, RejectedItem, WatchPage};
 pub use process::{ProcessLog, Signals, run_process};
 pub use refused_items::RefusedItems;
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -112,7 +112,7 @@
         if let Some(record) = reaction.record {
             self.send(sender, &PeerMessage::Record(record));
         }
-        if reaction.spread {
+        if reaction.propagate {
             self.spread_news();
         }
     }
@@ -121,7 +121,7 @@
     pub fn spread_news(&self) {
         let (receivers, records) = {
             let mut node = self.node.borrow_mut();
-            (node.news_receivers(), node.take_recorded())
+            (node.gossip_peers(), node.take_pending_records())
         };
         for receiver in receivers {
             self.send_digest(receiver, false);
@@ -146,7 +146,7 @@
         let peers = {
             let mut node = self.node.borrow_mut();
             node.overloaded = overloaded;
-            node.load_sample()
+            node.load_query_peers()
         };
         for peer in peers {
             self.send_digest(peer, true);
@@ -167,7 +167,7 @@
 
     /// Tells balancers that the target beside this agent has ended.
     pub fn announce_end(&self) {
-        let balancers = self.node.borrow().farewell_receivers();
+        let balancers = self.node.borrow().target_ended_recipients();
         for balancer in balancers {
             self.send(balancer, &PeerMessage::TargetEnded);
         }
@@ -183,7 +183,7 @@
 
     /// Asks the agents of known targets what stands beside them.
     pub fn ask_agents(&self) {
-        let agents = self.node.borrow().agents_to_ask();
+        let agents = self.node.borrow().agents_to_query();
         for agent in agents {
             self.send_digest(agent, true);
         }
@@ -195,7 +195,7 @@
         let receivers = {
             let mut node = self.node.borrow_mut();
             node.check_freshness(now);
-            node.tick_receivers(now)
+            node.digest_recipients(now)
         };
         for (receiver, ask) in receivers {
             self.send_digest(receiver, ask);
--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -2,7 +2,7 @@
 //! asked and answers. An implementation translates and decides nothing.
 
 use weirhinge_fleet::{
-    Millis, Position, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
+    Millis, Position, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneUpdate,
 };
 use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHead};
 
@@ -116,7 +116,7 @@
             age_ms: if is_unchanged { elapsed_ms.saturating_sub(wait_ms) } else { 0 },
             configuration: self.configuration,
             targets: self.targets,
-            zones: ZoneNews::Changes(self.zones),
+            zones: ZoneUpdate::Changes(self.zones),
         })
     }
 }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -8,7 +8,7 @@
 use slog::{Logger, info, warn};
 use weirhinge_fleet::{
     EvacuatedZones, Millis, Position, Timing, Update, VersionedConfiguration, VersionedTarget,
-    ZoneNews,
+    ZoneUpdate,
 };
 
 use crate::clock::Clock;
@@ -119,7 +119,7 @@
                     self.lost(&error);
                     self.set_reading(false);
                     failures += 1;
-                    let wait_ms = self.node.borrow().wait_after_failure(failures);
+                    let wait_ms = self.node.borrow().retry_backoff(failures);
                     tokio::time::sleep(Duration::from_millis(wait_ms)).await;
                 }
             }
@@ -132,7 +132,7 @@
 
     async fn space_watches(&self, began: Millis) {
         let elapsed = self.clock.now().saturating_sub(began);
-        let rest = self.timing.watch_spacing_ms.saturating_sub(elapsed);
+        let rest = self.timing.min_watch_interval_ms.saturating_sub(elapsed);
         tokio::time::sleep(Duration::from_millis(rest)).await;
     }
 
@@ -166,7 +166,7 @@
     async fn wait_after_refusal(&mut self) {
         self.refused_watches += 1;
         if self.refused_watches > 1 {
-            let wait_ms = self.node.borrow().wait_after_failure(self.refused_watches);
+            let wait_ms = self.node.borrow().retry_backoff(self.refused_watches);
             tokio::time::sleep(Duration::from_millis(wait_ms)).await;
         }
     }
@@ -207,7 +207,7 @@
             age_ms: self.clock.now().saturating_sub(asked_at),
             configuration: listed.configuration,
             targets: listed.targets,
-            zones: ZoneNews::Whole(EvacuatedZones::new(through, listed.evacuated)),
+            zones: ZoneUpdate::Whole(EvacuatedZones::new(through, listed.evacuated)),
         });
         Ok(())
     }
--- a/crates/relay/tests/fleet_node.rs
+++ b/crates/relay/tests/fleet_node.rs
@@ -8,8 +8,8 @@
 use slog::{Discard, Logger, o};
 use support::settings;
 use weirhinge_fleet::{
-    Configuration, Digest, Millis, PeerRole, Position, ServiceId, TargetClaim, TargetRecord,
-    TargetState, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
+    Configuration, Digest, Millis, PeerRole, Position, ServiceId, TargetRecord, TargetState,
+    TargetStatus, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneUpdate,
 };
 use weirhinge_relay::FleetNode;
 
@@ -58,22 +58,22 @@
     let now: Millis = 5_000;
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply_from_store(update(0, 3, vec![target(1, 2), target(2, 3)]), now);
-    assert_eq!(balancer.take_recorded(), [target(1, 2), target(2, 3)]);
-    assert!(balancer.take_recorded().is_empty(), "returned once");
+    assert_eq!(balancer.take_pending_records(), [target(1, 2), target(2, 3)]);
+    assert!(balancer.take_pending_records().is_empty(), "returned once");
     balancer.apply_from_store(update(3, 4, vec![target(2, 4)]), now + 100);
-    let records = balancer.take_recorded();
+    let records = balancer.take_pending_records();
     assert_eq!(records, [target(2, 4)]);
     balancer.apply_from_store(update(4, 4, Vec::new()), now + 200);
-    assert!(balancer.take_recorded().is_empty());
+    assert!(balancer.take_pending_records().is_empty());
     let mut agent = node(machine(2), PeerRole::Agent);
     agent.apply_record(records[0].clone(), now + 201);
     let known = agent.view().candidates(ServiceId::of("sheets"));
     assert_eq!(known.iter().map(|known| known.slots).collect::<Vec<_>>(), [5]);
 }
 
-fn target_status(recorded: bool) -> TargetClaim {
+fn target_status(recorded: bool) -> TargetStatus {
     let service = "sheets".to_owned();
-    TargetClaim {
+    TargetStatus {
         service,
         alive: true,
         load: 0.into(),
@@ -90,10 +90,10 @@
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply_from_store(update(0, 3, vec![target(1, 2), target(2, 3)]), 5_000);
     let mut agent = node(machine(2), PeerRole::Agent);
-    agent.claim = Some(target_status(false));
+    agent.target_status = Some(target_status(false));
     let reaction = balancer.on_digest(&agent.digest(false, 100), 5_001);
     assert_eq!(reaction.record, Some(target(2, 3)));
-    agent.claim = Some(target_status(true));
+    agent.target_status = Some(target_status(true));
     assert_eq!(balancer.on_digest(&agent.digest(false, 600), 5_501).record, None);
     assert_eq!(agent.on_digest(&balancer.digest(false, 5_502), 602).fetch_from, None);
 }
@@ -122,7 +122,7 @@
 fn agents_are_not_notified_of_updates_from_peers() {
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     balancer.apply(update(0, 3, vec![target(1, 2)]), "peer", 5_000);
-    assert!(balancer.take_recorded().is_empty());
+    assert!(balancer.take_pending_records().is_empty());
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let mut balancer = node(BALANCER, PeerRole::Balancer);
     let many = (0..200).map(|number| target(number, 2)).collect();
     balancer.apply_from_store(update(0, 3, many), 5_000);
-    assert!(balancer.take_recorded().len() <= 64);
+    assert!(balancer.take_pending_records().len() <= 64);
 }
 
 /// A balancer that has a configuration.
@@ -164,12 +164,12 @@
     balancer.on_digest(&Digest { stopping: true, ..digest_of(3, false, now) }, now);
     balancer.on_digest(&digest_of(4, false, now - 1_000), now - 1_000);
     assert!(
-        balancer.helpers_now(true, now).is_empty(),
+        balancer.available_helpers(true, now).is_empty(),
         "not overloaded, only under short pressure"
     );
     balancer.overloaded = true;
-    assert_eq!(balancer.helpers_now(true, now), [machine(1)]);
-    assert!(balancer.helpers_now(false, now).is_empty(), "no longer under pressure");
+    assert_eq!(balancer.available_helpers(true, now), [machine(1)]);
+    assert!(balancer.available_helpers(false, now).is_empty(), "no longer under pressure");
 }
 
 #[test]
@@ -207,7 +207,7 @@
 /// An update from the store in which the evacuation of zone `a` starts.
 fn evacuation(after: u64, through: u64) -> Update {
     let change = ZoneChange { zone: "a".to_owned(), position: at(through), begins: true };
-    Update { zones: ZoneNews::Changes(vec![change]), ..update(after, through, Vec::new()) }
+    Update { zones: ZoneUpdate::Changes(vec![change]), ..update(after, through, Vec::new()) }
 }
 
 #[test]
@@ -217,9 +217,9 @@
     reader.apply_from_store(evacuation(2, 7), now);
     let mut other = serving(machine(9), now);
     let reaction = other.on_digest(&reader.digest(false, now), now + 1);
-    assert!(other.view().evacuated_count() == 1 && reaction.spread);
+    assert!(other.view().evacuated_count() == 1 && reaction.propagate);
     let again = other.on_digest(&reader.digest(false, now), now + 2);
-    assert!(!again.spread, "propagated once");
+    assert!(!again.propagate, "propagated once");
     // An agent of the zone gets a reply and then knows of the evacuation.
     let mut agent = node(machine(2), PeerRole::Agent);
     agent.apply(other.answer(agent.request(), now), "peer", 100);
--- a/crates/relay/tests/fleet_scale.rs
+++ b/crates/relay/tests/fleet_scale.rs
@@ -11,8 +11,8 @@
 use slog::{Discard, Logger, o};
 use support::settings;
 use weirhinge_fleet::{
-    Configuration, Digest, Millis, PeerMessage, PeerRole, Position, TargetClaim, TargetRecord,
-    TargetState, Update, VersionedConfiguration, VersionedTarget, encode,
+    Configuration, Digest, Millis, PeerMessage, PeerRole, Position, TargetRecord, TargetState,
+    TargetStatus, Update, VersionedConfiguration, VersionedTarget, encode,
 };
 use weirhinge_relay::FleetNode;
 
@@ -89,7 +89,7 @@
                 log,
                 index as u64,
             );
-            node.claim = (!is_balancer).then(|| TargetClaim {
+            node.target_status = (!is_balancer).then(|| TargetStatus {
                 service: "sheets".to_owned(),
                 alive: true,
                 load: 1.into(),
@@ -146,7 +146,7 @@
         let now = self.now;
         match event {
             Event::Tick => {
-                let receivers = self.daemons[index].node.tick_receivers(now);
+                let receivers = self.daemons[index].node.digest_recipients(now);
                 for (receiver, requests_digest) in receivers {
                     self.send_digest(index, receiver, requests_digest);
                 }
@@ -175,7 +175,7 @@
         if self.is_store_down {
             node.reading = false;
             self.daemons[index].failures += 1;
-            let wait = self.daemons[index].node.wait_after_failure(self.daemons[index].failures);
+            let wait = self.daemons[index].node.retry_backoff(self.daemons[index].failures);
             return self.schedule(now + wait, index, Event::Poll);
         }
         if self.refused_daemon == Some(index) {
@@ -261,14 +261,14 @@
             self.daemons[from].bytes += buffer.len() as u64;
             self.schedule(now + 4 * ONE_WAY_DELAY_MS, index, Event::Fetched(Box::new(update)));
         }
-        if reaction.spread {
+        if reaction.propagate {
             self.propagate(index);
         }
     }
 
     fn propagate(&mut self, index: usize) {
         let node = &mut self.daemons[index].node;
-        for receiver in node.news_receivers() {
+        for receiver in node.gossip_peers() {
             self.send_digest(index, receiver, false);
         }
     }
@@ -383,7 +383,7 @@
     simulation.run_until(8_000, |_| false);
     let daemons = simulation.daemons.iter_mut();
     let contacts: Vec<usize> =
-        daemons.map(|daemon| daemon.node.tick_receivers(8_000).len()).collect();
+        daemons.map(|daemon| daemon.node.digest_recipients(8_000).len()).collect();
     assert!(contacts.iter().all(|count| *count > 0));
     assert!(simulation.everyone_knows(Position::new(0, 1)));
 }
--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
 
-use weirhinge_fleet::{Millis, ServiceId, TargetClaim, TargetLoad, ZoneId};
+use weirhinge_fleet::{Millis, ServiceId, TargetLoad, TargetStatus, ZoneId};
 
 use crate::view::Candidate;
 
@@ -172,7 +172,7 @@
 
     /// Records an agent's word about its target. Unlike an answer to a packet it
     /// does not show that the target works.
-    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
+    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetStatus, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.tell(claim.load, now);
         status.leaving_at = claim.leaving.then_some(now);
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -14,7 +14,7 @@
 
 use std::net::Ipv4Addr;
 
-use weirhinge_fleet::{Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, Timing, ZoneId};
+use weirhinge_fleet::{Millis, ReturnReason, ServiceId, TargetLoad, TargetStatus, Timing, ZoneId};
 
 pub use caller_shares::CallerShares;
 pub use decision::{
@@ -239,7 +239,7 @@
     }
 
     /// Takes in the word of an agent, which runs in `zone`, about the target beside it.
-    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
+    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetStatus, now: Millis) {
         self.statuses.claimed(agent, zone, claim, now);
     }
 
@@ -360,7 +360,7 @@
 
     /// Whether targets may live that have no record yet.
     fn is_unsettled(&self, now: Millis) -> bool {
-        now < self.regained_at + self.timing.settle_ms
+        now < self.regained_at + self.timing.renewal_grace_ms
     }
 
     fn go_to(&mut self, flow: FlowKey, agent: Ipv4Addr, stage: FlowStage, now: Millis) {
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -8,7 +8,7 @@
 use support::beside::{answer, arrival, output};
 use support::{Fixture, LATER, SERVICE, Store, agent, claim, data, flow, opening};
 use weirhinge_fleet::{
-    ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, TargetState, ZoneId,
+    ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetLoad, TargetState, TargetStatus, ZoneId,
 };
 use weirhinge_steering::{Agent, Decision, DeliveryDecision, Flags, FlowKey, WaitOutcome};
 
@@ -116,7 +116,7 @@
             }
         }
         if (now + number as u64 * 70).is_multiple_of(DIGEST_MS) {
-            let claim = TargetClaim { load: self.load(number), ..claim(SERVICE) };
+            let claim = TargetStatus { load: self.load(number), ..claim(SERVICE) };
             let address = agent(number as u8 + 1);
             self.fixture.balancer.claimed(address, ZoneId::of("a"), &claim, now);
         }
@@ -239,7 +239,7 @@
     for port in 0..400 {
         let now = LATER + Millis::from(port) * 10_000;
         for (number, load) in words {
-            let claim = TargetClaim { load: *load, ..claim(SERVICE) };
+            let claim = TargetStatus { load: *load, ..claim(SERVICE) };
             fixture.balancer.claimed(agent(*number), ZoneId::of("a"), &claim, now - age);
             fixture.balancer.heard(agent(*number), *load, now - age);
         }
--- a/crates/steering/tests/former_flow_claims.rs
+++ b/crates/steering/tests/former_flow_claims.rs
@@ -11,7 +11,7 @@
     Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, flow, many_agent, opening,
     rows,
 };
-use weirhinge_fleet::{Route, RoutePart, TargetClaim, TargetState, ZoneId};
+use weirhinge_fleet::{Route, RoutePart, TargetState, TargetStatus, ZoneId};
 use weirhinge_steering::{
     Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHead,
 };
@@ -159,7 +159,7 @@
 }
 
 fn say(fixture: &mut Fixture, agent: Ipv4Addr, without: Option<u64>, now: u64) {
-    let claim = TargetClaim { without_former_flows: without, ..claim(OTHER) };
+    let claim = TargetStatus { without_former_flows: without, ..claim(OTHER) };
     fixture.balancer.claimed(agent, ZoneId::of("a"), &claim, now);
 }
 
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -57,7 +57,7 @@
         }
         Event::Heard(number) => fixture.balancer.heard(agent(number), 0, *now),
         Event::Claimed(number, leaving) => {
-            let claim = weirhinge_fleet::TargetClaim { leaving, ..claim(SERVICE) };
+            let claim = weirhinge_fleet::TargetStatus { leaving, ..claim(SERVICE) };
             fixture.balancer.claimed(agent(number), ZoneId::of("a"), &claim, *now);
         }
         Event::Returned(number, reason) => {
--- a/crates/steering/tests/search_past_silence.rs
+++ b/crates/steering/tests/search_past_silence.rs
@@ -7,7 +7,7 @@
 use support::{
     Fixture, LATER, SERVICE, Store, agent, claim, data, flow, forwarded, opening, path, rows,
 };
-use weirhinge_fleet::{ReturnReason, TargetClaim, TargetState, ZoneId};
+use weirhinge_fleet::{ReturnReason, TargetState, TargetStatus, ZoneId};
 use weirhinge_steering::{Decision, DropReason, ResetReason};
 
 #[test]
@@ -247,7 +247,7 @@
     };
     fixture.balancer.target_ended(agent(2), LATER);
     // A digest that the agent sent before its last word, and that came after it.
-    let leaving = TargetClaim { leaving: true, ..claim(SERVICE) };
+    let leaving = TargetStatus { leaving: true, ..claim(SERVICE) };
     fixture.balancer.claimed(agent(2), ZoneId::of("a"), &leaving, LATER + 1);
     assert!(!asked(&mut fixture, 1));
     fixture.claimed(agent(2), LATER + 100);
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -11,8 +11,8 @@
 
 use weirhinge_fleet::{
     ColdStartPolicy, Configuration, EvacuatedZones, Position, Replica, Route, RoutePart,
-    TargetClaim, TargetLoad, TargetRecord, TargetState, Update, VersionedConfiguration,
-    VersionedTarget, ZoneNews,
+    TargetLoad, TargetRecord, TargetState, TargetStatus, Update, VersionedConfiguration,
+    VersionedTarget, ZoneUpdate,
 };
 use weirhinge_steering::{Decision, Flags, FleetView, FlowKey, Forward, Locality, PacketHead};
 
@@ -208,7 +208,7 @@
     pub fn evacuate(&mut self, zones: &[&str], now: u64) {
         self.revision += 1;
         let zones = zones.iter().map(|zone| (*zone).to_owned());
-        let zones = ZoneNews::Whole(EvacuatedZones::new(self.position(), zones));
+        let zones = ZoneUpdate::Whole(EvacuatedZones::new(self.position(), zones));
         self.replica.apply(Update { zones, ..self.change() }, now);
     }
 
@@ -243,8 +243,8 @@
     }
 }
 
-pub fn claim(service: &str) -> TargetClaim {
-    TargetClaim {
+pub fn claim(service: &str) -> TargetStatus {
+    TargetStatus {
         service: service.to_owned(),
         alive: true,
         load: TargetLoad::default(),
