--- a/crates/fleet/src/era_hold.rs
+++ b/crates/fleet/src/era_hold.rs
@@ -38,8 +38,8 @@
     /// Whether the hold period, which lasts at least `hold_ms`, is over. It ends when the store has
     /// confirmed the daemon's state after that time, since all writes made in the meantime are
     /// known then. A daemon without such a confirmation keeps its earlier state, for
-    /// [`MAX_EXTRA_HOLD_PERIODS`] further periods at most. `confirmed_at` is the time on this process's
-    /// clock at which the store last confirmed the state of its newest era.
+    /// [`MAX_EXTRA_HOLD_PERIODS`] further periods at most. `confirmed_at` is the time on this
+    /// process's clock at which the store last confirmed the state of its newest era.
     pub(crate) fn is_over(&self, hold_ms: Millis, confirmed_at: Option<i64>, now: Millis) -> bool {
         let Some(until) = self.until else { return false };
         let is_confirmed = confirmed_at.is_some_and(|at| i128::from(at) >= i128::from(until));
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -29,7 +29,7 @@
 pub enum PeerRole {
     /// Takes packets from clients and chooses targets.
     Balancer,
-    /// Runs on the machine of one target and represents it.
+    /// Runs co-located with one target and delivers packets to it.
     Agent,
 }
 
--- a/crates/fleet/src/peers.rs
+++ b/crates/fleet/src/peers.rs
@@ -111,11 +111,12 @@
             .is_none_or(|last_seen_at| now.saturating_sub(last_seen_at) >= DIGEST_REQUEST_AFTER_MS)
     }
 
-    /// Removes peers that were neither seen nor advertised for [`PEER_TIMEOUT_MS`].
+    /// Removes peers from which no digest arrived for [`PEER_TIMEOUT_MS`], or none at all within
+    /// that time after they were first advertised.
     pub fn expire(&mut self, now: Millis) {
         self.peers.retain(|_, peer| {
-            let last_contact_at = peer.last_seen_at.unwrap_or(peer.advertised_at);
-            now.saturating_sub(last_contact_at) < PEER_TIMEOUT_MS
+            let known_at = peer.last_seen_at.unwrap_or(peer.advertised_at);
+            now.saturating_sub(known_at) < PEER_TIMEOUT_MS
         });
     }
 
--- a/crates/fleet/src/timing.rs
+++ b/crates/fleet/src/timing.rs
@@ -45,7 +45,7 @@
     /// Minimum time between two watches, so that changes in quick succession share a call.
     pub min_watch_interval_ms: Millis,
     /// Age of the known state from which a balancer reads the store itself. It exceeds the wait of
-    /// a watch, so that a second balancer does not start reading beside a working reader.
+    /// a watch, so that no second balancer starts to read while a reader works.
     pub read_after_ms: Millis,
     /// Additional delay for each balancer with a lower address.
     pub rank_delay_ms: Millis,
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -90,7 +90,7 @@
 }
 
 /// All balancers may restart after an evacuation ended and then know nothing of it. An agent that
-/// kept running must not consider its zone evacuated for ever.
+/// kept running must not consider its zone evacuated forever.
 #[test]
 fn agent_learns_of_the_end_from_a_balancer_without_the_evacuation() {
     let mut agent = Replica::new();
--- a/crates/fleet/tests/peers.rs
+++ b/crates/fleet/tests/peers.rs
@@ -240,7 +240,7 @@
 fn one_verification_read_in_ten_seconds_for_any_fleet_size() {
     for balancers in [4_usize, 91, 1_000] {
         let mut schedules = vec![VerificationSchedule::default(); balancers];
-        let (mut checks, mut random) = (0, 1_u64);
+        let (mut reads, mut random) = (0, 1_u64);
         let end = 600_000;
         for now in (0..end).step_by(1_000) {
             for schedule in &mut schedules {
@@ -249,12 +249,12 @@
                     .wrapping_mul(6_364_136_223_846_793_005)
                     .wrapping_add(1_442_695_040_888_963_407);
                 let fraction = (random >> 11) as f64 / (1_u64 << 53) as f64;
-                checks += u32::from(schedule.is_due(now, balancers, fraction));
+                reads += u32::from(schedule.is_due(now, balancers, fraction));
             }
         }
         assert!(
-            (30..120).contains(&checks),
-            "{checks} verification reads of {balancers} balancers in ten minutes"
+            (30..120).contains(&reads),
+            "{reads} verification reads of {balancers} balancers in ten minutes"
         );
     }
 }
@@ -275,7 +275,7 @@
 }
 
 /// Without a backoff that depends on the number of balancers, each one called a failed store about
-/// once a second: 1,147 calls on one day in the largest simulated fleet.
+/// once a second: 1,147 calls on one day in the largest fleet tested.
 #[test]
 fn failed_store_is_called_about_ten_times_per_second() {
     let fractions = (0..100).map(|step| f64::from(step) / 100.0);
--- a/crates/fleet/tests/replica.rs
+++ b/crates/fleet/tests/replica.rs
@@ -156,7 +156,7 @@
 }
 
 /// A daemon that started with a listing does not know the removals before it. If it answered with
-/// differences from an earlier position, the peer would keep those targets for ever.
+/// differences from an earlier position, the peer would keep those targets forever.
 #[test]
 fn peer_before_the_first_listing_gets_a_complete_update() {
     let mut behind = Replica::new();
--- a/crates/fleet/tests/store_model/daemons.rs
+++ b/crates/fleet/tests/store_model/daemons.rs
@@ -211,7 +211,7 @@
 
     /// Checks that all daemons converge after the last fault, while one daemon reads the store and
     /// the others follow each other.
-    fn converge(&mut self, mut world: World) {
+    fn check_convergence(&mut self, mut world: World) {
         world.is_cut_from_store = [false; DAEMONS];
         world.is_cut_from_peers = [false; DAEMONS];
         for _ in 0..CONVERGENCE_TIME_MS / 500 {
@@ -275,8 +275,8 @@
         let present: BTreeSet<(u8, u64)> =
             live.map(|(id, target)| (*id, target.started_at)).collect();
         if self.is_holding(world.now) {
-            let is_in_effect = |(zone, order): &(&u8, &Option<u64>)| {
-                order.is_some() && world.zones.get(zone) == order.as_ref()
+            let is_in_effect = |(zone, number): &(&u8, &Option<u64>)| {
+                number.is_some() && world.zones.get(zone) == number.as_ref()
             };
             let is_missing = |(zone, _): &(&u8, &Option<u64>)| !evacuated(zone);
             let lost = self.observed.zones.iter().filter(is_in_effect).find(is_missing);
@@ -291,8 +291,8 @@
         }
         for zone in 0..ZONES {
             if evacuated(&zone) {
-                let order = world.zones.get(&zone).copied();
-                self.observed.zones.entry(zone).or_insert(order);
+                let number = world.zones.get(&zone).copied();
+                self.observed.zones.entry(zone).or_insert(number);
             } else {
                 self.observed.zones.remove(&zone);
             }
@@ -371,6 +371,6 @@
     }
 
     fn teardown(mut fleet: Fleet, world: World) {
-        fleet.converge(world);
+        fleet.check_convergence(world);
     }
 }
--- a/crates/fleet/tests/store_model/world.rs
+++ b/crates/fleet/tests/store_model/world.rs
@@ -163,7 +163,7 @@
             let due: Vec<u8> = self.due_targets();
             due.into_iter().for_each(|id| self.write_record(id));
             self.rewrite_after_restore();
-            self.expire_silent_targets();
+            self.drop_expired_entries();
         }
     }
 
@@ -212,12 +212,12 @@
         }
     }
 
-    fn expire_silent_targets(&mut self) {
-        let is_silent =
+    fn drop_expired_entries(&mut self) {
+        let is_expired =
             |item: &Item| item.entry != Entry::Foreign && item.written_at + EXPIRY_MS <= self.now;
-        let silent = self.store.items.iter().filter(|(_, item)| is_silent(item));
-        let silent: Vec<u8> = silent.map(|(id, _)| *id).collect();
-        for id in silent {
+        let expired = self.store.items.iter().filter(|(_, item)| is_expired(item));
+        let expired: Vec<u8> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.store.write(Event::Target(id, Entry::Removed), self.now);
         }
     }
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's state of the store and of its peers, and how it is kept up to date through digests
+//! A daemon's replica of the store and its table of peers, kept up to date by the store, digests
 //! and fetches.
 
 mod change_log;
@@ -38,7 +38,8 @@
     pub record: Option<VersionedTarget>,
 }
 
-/// A daemon's state of the store and of its peers.
+/// A daemon's replica of the store and its table of peers, with the routes and targets compiled
+/// from the replica.
 pub struct FleetNode {
     address: Ipv4Addr,
     role: PeerRole,
@@ -359,13 +360,13 @@
         }
         let age = self.replica.age(now);
         let is_fresh = age.is_some_and(|age| age < self.timing.fresh_ms);
-        let is_lost = age.is_none_or(|age| age >= self.timing.stale_ms);
+        let is_stale = age.is_none_or(|age| age >= self.timing.stale_ms);
         if is_fresh && !self.is_view_fresh {
             self.is_view_fresh = true;
             self.view_regained_at = Some(now);
             info!(self.log, "fleet: store view is fresh"; "event" => "store_view_fresh",
                 "revision" => self.replica.position().revision, "age_ms" => age);
-        } else if is_lost && self.is_view_fresh {
+        } else if is_stale && self.is_view_fresh {
             self.is_view_fresh = false;
             info!(self.log, "fleet: store view is stale"; "event" => "store_view_old",
                 "revision" => self.replica.position().revision, "age_ms" => age);
--- a/crates/relay/tests/fleet_scale.rs
+++ b/crates/relay/tests/fleet_scale.rs
@@ -300,12 +300,12 @@
     /// resets the counters.
     fn take_bytes(&mut self, began: Millis) -> (u64, u64) {
         let seconds = ((self.now - began) / 1_000).max(1);
-        let most = self.daemons.iter().map(|daemon| daemon.bytes).max().unwrap_or(0);
+        let busiest = self.daemons.iter().map(|daemon| daemon.bytes).max().unwrap_or(0);
         let all: u64 = self.daemons.iter().map(|daemon| daemon.bytes).sum();
         for daemon in &mut self.daemons {
             daemon.bytes = 0;
         }
-        (most / seconds, all / seconds / self.daemons.len() as u64)
+        (busiest / seconds, all / seconds / self.daemons.len() as u64)
     }
 }
 
@@ -314,14 +314,14 @@
     let mut simulation = Simulation::new(300, 700);
     simulation.run_until(15_000, |_| false);
     assert!(simulation.everyone_knows(Position::new(0, 1)));
-    let (most, mean) = simulation.take_bytes(0);
-    println!("start, 15 s: {most} B/s at most, {mean} B/s on average");
+    let (busiest, mean) = simulation.take_bytes(0);
+    println!("start, 15 s: {busiest} B/s at most, {mean} B/s on average");
     let (calls, began) = (simulation.calls, simulation.now);
     simulation.run_until(began + 20_000, |_| false);
-    let (most, mean) = simulation.take_bytes(began);
+    let (busiest, mean) = simulation.take_bytes(began);
     let calls = simulation.calls - calls;
-    println!("quiet, 20 s: {most} B/s at most, {mean} B/s on average, {calls} calls");
-    assert!(most < 6_000, "{most} B/s of control traffic at the busiest daemon");
+    println!("quiet, 20 s: {busiest} B/s at most, {mean} B/s on average, {calls} calls");
+    assert!(busiest < 6_000, "{busiest} B/s of control traffic at the busiest daemon");
     assert!(calls < 60, "{calls} calls in 20 s");
     let mut longest = (0, 0);
     for _ in 0..5 {
