--- a/crates/routing/benches/route.rs
+++ b/crates/routing/benches/route.rs
@@ -1,5 +1,5 @@
-//! Cost of the routing decision per packet, and of building a table, at the
-//! size that the design is for: 3,100 services and 7,200 targets.
+//! Benchmarks of routing one packet and of building a routing table, at the design size of 3,100
+//! services and 7,200 targets.
 
 use std::hint::black_box;
 
@@ -14,9 +14,9 @@
 const SERVICES: u32 = 3_100;
 const TARGETS: u16 = 7_200;
 const KEY: HashKey = HashKey([7; 16]);
-/// Packets that a measurement goes through in turn, so that caches are not
-/// flattered by one flow.
-const PACKETS: u16 = 4_096;
+/// Distinct flows that a benchmark cycles through. Repeating a single flow would keep its entries
+/// in the CPU caches and understate the cost.
+const FLOWS: u16 = 4_096;
 
 fn service_address(index: u32) -> [u8; 4] {
     (0x0A00_0000_u32 + index).to_be_bytes()
@@ -51,18 +51,22 @@
 }
 
 fn packets(hinted: bool) -> Vec<Vec<u8>> {
-    (0..PACKETS)
-        .map(|number| {
-            let service = u32::from(number) * 7 % SERVICES;
+    (0..FLOWS)
+        .map(|flow| {
+            let service = u32::from(flow) * 7 % SERVICES;
             let target = TargetId(service as u16);
-            let echo = HolderHint(target).timestamp(u64::from(number)).to_be_bytes();
+            let echo = HolderHint(target).timestamp(u64::from(flow)).to_be_bytes();
             let mut options = vec![1, 1, 8, 10, 0, 0, 0, 1];
             options.extend(echo);
-            let step = PacketBuilder::ipv4([198, 18, 0, 1], service_address(service), 64)
-                .tcp(number, 8_443, 1, 4_000);
-            let step = if hinted { step.ack(1) } else { step.syn() };
+            let builder = PacketBuilder::ipv4([198, 18, 0, 1], service_address(service), 64)
+                .tcp(flow, 8_443, 1, 4_000);
+            let builder = if hinted { builder.ack(1) } else { builder.syn() };
             let mut packet = Vec::new();
-            step.options_raw(&options).expect("options").write(&mut packet, &[]).expect("packet");
+            builder
+                .options_raw(&options)
+                .expect("valid TCP options")
+                .write(&mut packet, &[])
+                .expect("write packet");
             packet
         })
         .collect()
@@ -73,7 +77,7 @@
     for (name, hinted) in [("by owner", false), ("by hint", true)] {
         let packets = packets(hinted);
         let views: Vec<PacketView<'_>> =
-            packets.iter().map(|packet| decode_packet(packet).expect("sound")).collect();
+            packets.iter().map(|packet| decode_packet(packet).expect("valid packet")).collect();
         let mut next = 0;
         criterion.bench_function(&format!("route one packet {name}"), |bencher| {
             bencher.iter(|| {
@@ -84,7 +88,7 @@
         criterion.bench_function(&format!("decode and route one packet {name}"), |bencher| {
             bencher.iter(|| {
                 next = (next + 1) % packets.len();
-                let view = decode_packet(black_box(&packets[next])).expect("sound");
+                let view = decode_packet(black_box(&packets[next])).expect("valid packet");
                 black_box(table.route(&view))
             });
         });
--- a/crates/routing/src/bucket.rs
+++ b/crates/routing/src/bucket.rs
@@ -1,99 +1,99 @@
-//! The bucket table of one service: weighted rendezvous hashing per bucket.
+//! Weighted rendezvous hashing of one service's buckets onto its targets.
 //!
-//! Each bucket goes to the target with the highest weighted score (Thaler and
-//! Ravishankar 1998, with the logarithmic weighting of Schindelhauer and
-//! Schomaker 2005). A target's score for a bucket depends on nothing else, so
-//! that a change moves only the buckets which it must: those of a target that
-//! went, or those that a new one wins.
+//! Each bucket is owned by the target with the highest weighted score (Thaler and Ravishankar
+//! 1998, with the logarithmic weighting of Schindelhauer and Schomaker 2005). A target's score for
+//! a bucket does not depend on the other targets, so a change moves the minimum of buckets: those
+//! of a removed target, or those that an added target wins.
 
 use weirhinge_config::TargetId;
 
 use crate::hash::mix;
 
-/// Buckets per target; a table has this many times its targets, rounded up to
-/// a power of two. A share's standard deviation is about 1 / sqrt(128) = 9%;
-/// comparing candidates at admission takes that out again.
+/// Buckets per target. The table size is this times the number of targets, rounded up to a power
+/// of two. The standard deviation of a target's share is about 1 / sqrt(128) = 9%; admission
+/// corrects this imbalance by comparing candidates.
 pub const BUCKETS_PER_TARGET: usize = 128;
 
-/// Largest table, in buckets.
-const MAXIMUM_BUCKETS: usize = 1 << 16;
+/// Upper bound on the size of a table, in buckets.
+const MAX_BUCKETS: usize = 1 << 16;
 
-/// Maps each bucket to its owner and to the deputy, which would own the bucket
-/// if the owner went.
+/// Maps each bucket to its owner and its standby owner, the target that would own the bucket if the
+/// owner were removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BucketTable {
     owners: Vec<TargetId>,
-    /// Empty for a service with a single target.
-    deputies: Vec<TargetId>,
+    /// Empty if the service has a single target.
+    standby_owners: Vec<TargetId>,
 }
 
 impl BucketTable {
-    /// Builds the table for targets with their weights. The size comes from
-    /// `size_for` targets, which also counts draining ones, so that draining a
-    /// target does not change the size and thereby move every bucket.
-    pub fn build(service_seed: u64, targets: &[(TargetId, u32)], size_for: usize) -> Self {
+    /// Builds the table for targets and their weights.
+    ///
+    /// The table size is computed from `member_count`, which includes draining targets. Otherwise,
+    /// draining a target could change the size and thereby remap every bucket.
+    pub fn build(service_seed: u64, targets: &[(TargetId, u32)], member_count: usize) -> Self {
         if targets.is_empty() {
-            return Self { owners: Vec::new(), deputies: Vec::new() };
+            return Self { owners: Vec::new(), standby_owners: Vec::new() };
         }
-        let size = (size_for.max(1) * BUCKETS_PER_TARGET).next_power_of_two().min(MAXIMUM_BUCKETS);
+        let size = (member_count.max(1) * BUCKETS_PER_TARGET).next_power_of_two().min(MAX_BUCKETS);
         let mut owners = Vec::with_capacity(size);
-        let mut deputies = Vec::new();
+        let mut standby_owners = Vec::new();
         for bucket in 0..size as u64 {
-            let (owner, deputy) = best_targets(service_seed, bucket, targets);
+            let (owner, deputy) = highest_scoring_targets(service_seed, bucket, targets);
             owners.push(owner);
-            deputies.extend(deputy);
+            standby_owners.extend(deputy);
         }
-        Self { owners, deputies }
+        Self { owners, standby_owners }
     }
 
-    /// Whether the service has no target that takes new flows.
+    /// Returns `true` if the service has no target that accepts new flows.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Number of buckets.
+    /// Returns the number of buckets.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// The bucket of a flow hash. Must not be called on an empty table.
+    /// Returns the bucket of a flow hash. Must not be called on an empty table.
     pub fn bucket(&self, flow_hash: u64) -> u32 {
         debug_assert!(self.owners.len().is_power_of_two());
         (flow_hash & (self.owners.len() as u64 - 1)) as u32
     }
 
-    /// The owner of a bucket, if the table has that bucket.
+    /// Returns the owner of a bucket, or `None` if the table has no such bucket.
     pub fn owner(&self, bucket: u32) -> Option<TargetId> {
         self.owners.get(bucket as usize).copied()
     }
 
-    /// The deputy of a bucket, if the service has more than one target.
+    /// Returns the standby owner of a bucket, or `None` if the service has a single target.
     pub fn deputy(&self, bucket: u32) -> Option<TargetId> {
-        self.deputies.get(bucket as usize).copied()
+        self.standby_owners.get(bucket as usize).copied()
     }
 
-    /// All owners in bucket order.
+    /// Returns all owners in bucket order.
     pub fn owners(&self) -> &[TargetId] {
         &self.owners
     }
 }
 
-/// The two best targets of a bucket.
-fn best_targets(
+/// Returns the targets with the highest and second-highest score for a bucket.
+fn highest_scoring_targets(
     service_seed: u64,
     bucket: u64,
     targets: &[(TargetId, u32)],
 ) -> (TargetId, Option<TargetId>) {
     let bucket_seed = mix(service_seed, bucket);
-    let mut owner = Candidate::WORST;
-    let mut deputy = Candidate::WORST;
+    let mut owner = Candidate::LOWEST;
+    let mut deputy = Candidate::LOWEST;
     for &(target, weight) in targets {
         let score = score(mix(bucket_seed, u64::from(target.0) + 1), weight);
         let candidate = Candidate { score, target };
-        if candidate.beats(&owner) {
+        if candidate.outranks(&owner) {
             deputy = owner;
             owner = candidate;
-        } else if candidate.beats(&deputy) {
+        } else if candidate.outranks(&deputy) {
             deputy = candidate;
         }
     }
@@ -107,18 +107,18 @@
 }
 
 impl Candidate {
-    const WORST: Self = Self { score: f64::NEG_INFINITY, target: TargetId(u16::MAX) };
+    const LOWEST: Self = Self { score: f64::NEG_INFINITY, target: TargetId(u16::MAX) };
 
-    /// A tie goes to the lower identifier, whatever the order of the list.
-    fn beats(&self, other: &Self) -> bool {
+    /// Ties go to the lower identifier, so that the result does not depend on the input order.
+    fn outranks(&self, other: &Self) -> bool {
         self.score > other.score || (self.score == other.score && self.target < other.target)
     }
 }
 
-/// `-weight / ln(u)` for a uniform `u`. `libm` computes the logarithm in
-/// software, so that every machine gets the same bits.
+/// Returns `-weight / ln(u)`, with `u` derived from the hash and uniform in (0, 1). The logarithm
+/// is `libm`'s software implementation, so that all machines compute bit-identical scores.
 fn score(hash: u64, weight: u32) -> f64 {
-    const UNIT: f64 = 1.0 / (1_u64 << 53) as f64;
-    let uniform = ((hash >> 11) as f64 + 0.5) * UNIT;
+    const STEP: f64 = 1.0 / (1_u64 << 53) as f64;
+    let uniform = ((hash >> 11) as f64 + 0.5) * STEP;
     -f64::from(weight) / libm::log(uniform)
 }
--- a/crates/routing/src/hash.rs
+++ b/crates/routing/src/hash.rs
@@ -1,4 +1,4 @@
-//! The keyed hash of a flow that all balancers and agents share.
+//! Keyed flow hash, identical on all balancers and agents.
 
 use std::hash::Hasher;
 use std::net::{IpAddr, SocketAddr};
@@ -7,20 +7,20 @@
 use weirhinge_config::HashKey;
 use weirhinge_packet::{FlowKey, Protocol};
 
-/// Hashes flows under a secret key (SipHash-1-3): a caller that does not know
-/// the key cannot aim its flows at one bucket.
+/// Hashes flows with SipHash-1-3 under a secret key. Without the key, a client cannot direct its
+/// flows at one bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct FlowHasher {
     hasher: SipHasher13,
 }
 
 impl FlowHasher {
-    /// A hasher for this key.
+    /// Creates a hasher with this key.
     pub fn new(key: &HashKey) -> Self {
         Self { hasher: SipHasher13::new_with_key(&key.0) }
     }
 
-    /// The flow's hash; equal on every process with the same key.
+    /// Returns the flow's hash, which is the same in every process with the same key.
     pub fn hash(&self, key: &FlowKey) -> u64 {
         let mut hasher = self.hasher;
         hasher.write_u8(match key.protocol {
@@ -41,7 +41,7 @@
     hasher.write_u16(address.port());
 }
 
-/// Mixes two numbers into one well-spread number (the finaliser of SplitMix64).
+/// Combines two numbers into one hash with the finalizer of SplitMix64.
 pub(crate) fn mix(left: u64, right: u64) -> u64 {
     let mut value = left ^ right.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,7 @@
-//! Decides, without any state per flow, which target a packet goes to.
+//! Stateless packet routing: selects the target of a packet without per-flow state.
 //!
-//! Pure logic: a [`RoutingTable`] is built from one configuration document and
-//! answers for each decoded packet. Every process that holds the same document
-//! and hash key gives the same answers.
+//! A [`RoutingTable`] is built from one configuration document and routes decoded packets. It does
+//! no I/O, and all processes with the same document and hash key make the same decisions.
 
 mod bucket;
 mod hash;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The routing table of one configuration revision.
+//! Routing table built from one configuration revision.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -11,17 +11,17 @@
 use crate::hash::{FlowHasher, mix};
 use crate::hint::HolderHint;
 
-/// Why a packet has no route.
+/// Reason why a packet cannot be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// No service has the packet's destination.
+    /// No service listens on the packet's destination.
     UnknownService,
-    /// The service has no target that takes new flows, and nothing names a holder.
+    /// The service has no target that accepts new flows, and the packet has no valid holder hint.
     NoTarget,
 }
 
 impl RouteError {
-    /// The reason's name as it appears in metrics.
+    /// Returns the name of the reason as used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RouteError::UnknownService => "unknown_service",
@@ -30,61 +30,60 @@
     }
 }
 
-/// What a route rests on.
+/// How the target of a route was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteBasis {
-    /// The target owns the flow's bucket.
+    /// The target owns the flow's hash bucket.
     Owner,
-    /// The packet's echoed timestamp, or the number that it acknowledges, names the
-    /// target.
+    /// The packet's echoed timestamp or acknowledgment number identifies the target.
     Hint,
 }
 
-/// Where a packet goes.
+/// Routing decision for one packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The service that the packet is for.
+    /// The service that the packet is addressed to.
     pub service: ServiceId,
-    /// The target that the packet goes to.
+    /// The target that the packet is sent to.
     pub target: TargetId,
-    /// The agent beside that target.
+    /// Address of the agent co-located with the target.
     pub agent: SocketAddr,
-    /// What the choice rests on.
+    /// How the target was selected.
     pub basis: RouteBasis,
-    /// For an opening packet: who stands by in case the owner is dead.
+    /// For an opening packet: the standby owner, which takes over if the owner does not respond.
     pub standby: Option<Standby>,
 }
 
-/// The deputy of a flow's bucket.
+/// The standby owner of a flow's bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standby {
-    /// The deputy's target.
+    /// The target that is the standby owner.
     pub target: TargetId,
-    /// The agent beside that target.
+    /// Address of the agent co-located with the target.
     pub agent: SocketAddr,
 }
 
-/// What routing knows of one target.
+/// Routing data of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetRoute {
     /// The service that the target serves.
     pub service: ServiceId,
-    /// Address of the agent.
+    /// Address of the agent co-located with the target.
     pub agent: SocketAddr,
 }
 
-/// What routing knows of one service.
+/// Routing data of one service.
 #[derive(Clone, Debug)]
 pub struct ServiceRoute {
     /// The service's identifier.
     pub id: ServiceId,
-    /// Owners of the service's buckets.
+    /// Owners and standby owners of the service's buckets.
     pub buckets: BucketTable,
-    /// Targets that take new flows, by identifier.
+    /// Targets that accept new flows, sorted by identifier.
     pub active: Vec<TargetId>,
     /// Weights of the active targets, in the same order.
     weights: Vec<u32>,
-    /// All targets, draining ones too, by identifier.
+    /// All targets including draining ones, sorted by identifier.
     pub members: Vec<TargetId>,
 }
 
@@ -94,29 +93,29 @@
     revision: u64,
     hasher: FlowHasher,
     by_endpoint: HashMap<(IpAddr, u16, Protocol), usize>,
-    /// Shared with the table of the previous revision where nothing changed.
+    /// A service's entry is shared with the previous revision's table if its targets are unchanged.
     services: Vec<Arc<ServiceRoute>>,
-    /// Indexed by target identifier: a lookup by hint is one bounds check.
+    /// Indexed by target identifier, so that a lookup by hint costs one bounds check.
     targets: Vec<Option<TargetRoute>>,
 }
 
 impl RoutingTable {
-    /// Builds the table. The document must have passed its checks.
+    /// Builds the table from a document, which must already be validated.
     pub fn build(document: &ConfigDocument, key: &HashKey) -> Self {
         Self::build_with(document, FlowHasher::new(key), &HashMap::new())
     }
 
-    /// Builds the table of the next revision, which shares the bucket tables of
-    /// every service whose targets are as before: they are nearly all the cost.
+    /// Builds the table of the next revision. It shares the bucket tables of services whose targets
+    /// are unchanged, because computing these tables is nearly the whole cost of a build.
     pub fn rebuild(&self, document: &ConfigDocument) -> Self {
-        let known = self.services.iter().map(|service| (service.id, service)).collect();
-        Self::build_with(document, self.hasher, &known)
+        let previous = self.services.iter().map(|service| (service.id, service)).collect();
+        Self::build_with(document, self.hasher, &previous)
     }
 
     fn build_with(
         document: &ConfigDocument,
         hasher: FlowHasher,
-        known: &HashMap<ServiceId, &Arc<ServiceRoute>>,
+        previous: &HashMap<ServiceId, &Arc<ServiceRoute>>,
     ) -> Self {
         let mut by_endpoint = HashMap::with_capacity(document.services.len());
         let mut members: HashMap<ServiceId, Vec<&Target>> = HashMap::new();
@@ -129,8 +128,8 @@
             by_endpoint.insert((service.address, service.port, protocol), services.len());
             let targets = members.remove(&service.id).unwrap_or_default();
             let inputs = BucketInputs::of(&targets);
-            let route = match known.get(&service.id) {
-                Some(&known) if inputs.are_those_of(known) => known.clone(),
+            let route = match previous.get(&service.id) {
+                Some(&unchanged) if inputs.match_route(unchanged) => unchanged.clone(),
                 _ => Arc::new(service_route(service.id, inputs)),
             };
             services.push(route);
@@ -144,46 +143,47 @@
         }
     }
 
-    /// The configuration revision that the table was built from.
+    /// Returns the configuration revision that the table was built from.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The hash of flows under the deployment's key.
+    /// Returns the flow hasher with the deployment's key.
     pub fn hasher(&self) -> &FlowHasher {
         &self.hasher
     }
 
-    /// The service that has the packet's destination.
+    /// Returns the service that listens on the packet's destination.
     pub fn service_for(&self, packet: &PacketView<'_>) -> Option<&ServiceRoute> {
         let destination = packet.key.destination;
         let endpoint = (destination.ip(), destination.port(), packet.key.protocol);
         self.by_endpoint.get(&endpoint).map(|&index| self.services[index].as_ref())
     }
 
-    /// The service with this identifier. Walks the services: agents ask it once
-    /// per decision about their own, balancers never do.
+    /// Returns the service with this identifier. This is a linear search: agents call it once per
+    /// decision, for their own service, and balancers never call it.
     pub fn service(&self, id: ServiceId) -> Option<&ServiceRoute> {
         self.services.iter().find(|service| service.id == id).map(Arc::as_ref)
     }
 
-    /// The target with this identifier.
+    /// Returns the target with this identifier.
     pub fn target(&self, id: TargetId) -> Option<&TargetRoute> {
         self.targets.get(usize::from(id.0))?.as_ref()
     }
 
-    /// Decides where a packet goes. Does not allocate.
+    /// Routes a packet. Does not allocate.
     ///
     /// # Errors
-    /// When no service has the destination, or the service has no target for it.
+    /// Returns an error if no service listens on the destination, or if the packet has no valid
+    /// holder hint and its service has no active target.
     pub fn route(&self, packet: &PacketView<'_>) -> Result<Route, RouteError> {
         let service = self.service_for(packet).ok_or(RouteError::UnknownService)?;
-        // Most packets carry a timestamp; the hash is for the others alone.
-        if let Some(route) = self.hinted_by_timestamp(service, packet) {
+        // Most packets carry a timestamp hint, for which the flow hash need not be computed.
+        if let Some(route) = self.route_by_timestamp(service, packet) {
             return Ok(route);
         }
         let flow_hash = self.hasher.hash(&packet.key);
-        if let Some(route) = self.hinted_by_number(service, packet, flow_hash) {
+        if let Some(route) = self.route_by_acknowledgment(service, packet, flow_hash) {
             return Ok(route);
         }
         if service.buckets.is_empty() {
@@ -210,18 +210,14 @@
         Some(Standby { target, agent: self.target(target)?.agent })
     }
 
-    fn hinted_by_timestamp(
-        &self,
-        service: &ServiceRoute,
-        packet: &PacketView<'_>,
-    ) -> Option<Route> {
+    fn route_by_timestamp(&self, service: &ServiceRoute, packet: &PacketView<'_>) -> Option<Route> {
         let segment = packet.tcp().filter(|segment| !segment.opens_flow())?;
-        self.hinted(service, HolderHint::from_echo(segment.timestamp_echo?))
+        self.route_by_hint(service, HolderHint::from_echo(segment.timestamp_echo?))
     }
 
-    /// A caller without timestamps acknowledges numbers of the holder's. Without them its
-    /// packets have one way alone, through the owner of their bucket.
-    fn hinted_by_number(
+    /// Routes a packet without timestamps by the holder's sequence number that it acknowledges.
+    /// Without this hint such packets could reach the holder only through the bucket's owner.
+    fn route_by_acknowledgment(
         &self,
         service: &ServiceRoute,
         packet: &PacketView<'_>,
@@ -231,11 +227,14 @@
         if segment.timestamp_echo.is_some() {
             return None;
         }
-        self.hinted(service, HolderHint::from_acknowledgment(segment.acknowledgment, flow_hash))
+        self.route_by_hint(
+            service,
+            HolderHint::from_acknowledgment(segment.acknowledgment, flow_hash),
+        )
     }
 
-    /// A hint counts only if it names a target of the packet's own service.
-    fn hinted(&self, service: &ServiceRoute, hint: HolderHint) -> Option<Route> {
+    /// Routes to the hinted target. Hints to targets of other services are ignored.
+    fn route_by_hint(&self, service: &ServiceRoute, hint: HolderHint) -> Option<Route> {
         let HolderHint(target) = hint;
         let holder = self.target(target)?;
         (holder.service == service.id).then_some(Route {
@@ -248,12 +247,12 @@
     }
 }
 
-/// All that a service's bucket table depends on.
+/// All inputs of a service's bucket table.
 #[derive(Debug, PartialEq, Eq)]
 struct BucketInputs {
-    /// Active targets with their weights, by identifier.
+    /// Active targets with their weights, sorted by identifier.
     weighted: Vec<(TargetId, u32)>,
-    /// All targets, by identifier.
+    /// All targets, sorted by identifier.
     members: Vec<TargetId>,
 }
 
@@ -270,7 +269,7 @@
         Self { weighted, members }
     }
 
-    fn are_those_of(&self, route: &ServiceRoute) -> bool {
+    fn match_route(&self, route: &ServiceRoute) -> bool {
         let weighted = route.active.iter().copied().zip(route.weights.iter().copied());
         self.members == route.members && weighted.eq(self.weighted.iter().copied())
     }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,5 +1,5 @@
-//! Routes are deterministic, move little, follow weights, and trust no hint
-//! across services.
+//! Bucket ownership and packet routing: determinism, minimal remapping, weights, and rejection of
+//! hints to other services.
 
 mod support;
 
@@ -12,11 +12,11 @@
 const KEY: HashKey = HashKey([7; 16]);
 const SEED: u64 = 11;
 
-fn weighted(ids: impl IntoIterator<Item = u16>) -> Vec<(TargetId, u32)> {
+fn equally_weighted(ids: impl IntoIterator<Item = u16>) -> Vec<(TargetId, u32)> {
     ids.into_iter().map(|id| (TargetId(id), 100)).collect()
 }
 
-fn moved(before: &BucketTable, after: &BucketTable) -> Vec<(TargetId, TargetId)> {
+fn owner_changes(before: &BucketTable, after: &BucketTable) -> Vec<(TargetId, TargetId)> {
     before
         .owners()
         .iter()
@@ -27,54 +27,62 @@
 }
 
 #[test]
-fn removing_a_target_moves_only_its_buckets() {
-    let before = BucketTable::build(SEED, &weighted(0..7), 7);
-    let after = BucketTable::build(SEED, &weighted((0..7).filter(|&id| id != 3)), 7);
-    let moved = moved(&before, &after);
-    assert!(moved.iter().all(|(old, _)| *old == TargetId(3)));
+fn removing_target_remaps_only_its_buckets() {
+    let before = BucketTable::build(SEED, &equally_weighted(0..7), 7);
+    let after = BucketTable::build(SEED, &equally_weighted((0..7).filter(|&id| id != 3)), 7);
+    let changes = owner_changes(&before, &after);
+    assert!(changes.iter().all(|(old, _)| *old == TargetId(3)));
     let owned = before.owners().iter().filter(|&&owner| owner == TargetId(3)).count();
-    assert_eq!(moved.len(), owned);
+    assert_eq!(changes.len(), owned);
 }
 
 #[test]
-fn adding_a_target_moves_buckets_only_to_it() {
-    let before = BucketTable::build(SEED, &weighted(0..7), 8);
-    let after = BucketTable::build(SEED, &weighted(0..8), 8);
-    let moved = moved(&before, &after);
-    assert!(moved.iter().all(|(_, new)| *new == TargetId(7)));
-    let fair = before.len() / 8;
-    assert!(moved.len() < fair + fair / 2, "{} of {}", moved.len(), before.len());
+fn added_target_is_only_new_owner() {
+    let before = BucketTable::build(SEED, &equally_weighted(0..7), 8);
+    let after = BucketTable::build(SEED, &equally_weighted(0..8), 8);
+    let changes = owner_changes(&before, &after);
+    assert!(changes.iter().all(|(_, new)| *new == TargetId(7)));
+    let fair_share = before.len() / 8;
+    assert!(
+        changes.len() < fair_share + fair_share / 2,
+        "{} of {} buckets changed owner",
+        changes.len(),
+        before.len()
+    );
 }
 
 #[test]
-fn the_deputy_owns_the_bucket_when_the_owner_goes() {
-    let before = BucketTable::build(SEED, &weighted(0..7), 7);
-    let after = BucketTable::build(SEED, &weighted((0..7).filter(|&id| id != 3)), 7);
+fn standby_owner_takes_over_buckets_of_removed_owner() {
+    let before = BucketTable::build(SEED, &equally_weighted(0..7), 7);
+    let after = BucketTable::build(SEED, &equally_weighted((0..7).filter(|&id| id != 3)), 7);
     for bucket in 0..before.len() as u32 {
-        let deputy = before.deputy(bucket).expect("a deputy");
+        let deputy = before.deputy(bucket).expect("standby owner");
         assert_ne!(before.owner(bucket), Some(deputy));
         if before.owner(bucket) == Some(TargetId(3)) {
             assert_eq!(after.owner(bucket), Some(deputy));
         }
     }
-    let single = BucketTable::build(SEED, &weighted(0..1), 1);
+    let single = BucketTable::build(SEED, &equally_weighted(0..1), 1);
     assert_eq!((single.owner(0), single.deputy(0)), (Some(TargetId(0)), None));
 }
 
 #[test]
-fn shares_follow_weights() {
+fn bucket_shares_are_proportional_to_weights() {
     let targets = [(TargetId(1), 100), (TargetId(2), 300)];
     let table = BucketTable::build(SEED, &targets, 64);
     let light = table.owners().iter().filter(|&&owner| owner == TargetId(1)).count();
     let share = light as f64 / table.len() as f64;
-    assert!((0.22..0.28).contains(&share), "{share}");
+    assert!(
+        (0.22..0.28).contains(&share),
+        "share of the target with weight 100 is {share}, expected about 0.25"
+    );
 }
 
 #[test]
-fn order_of_targets_does_not_matter() {
-    let forward = BucketTable::build(SEED, &weighted(0..9), 9);
-    let backward = BucketTable::build(SEED, &weighted((0..9).rev()), 9);
-    assert_eq!(forward, backward);
+fn table_is_independent_of_target_order() {
+    let ascending = BucketTable::build(SEED, &equally_weighted(0..9), 9);
+    let descending = BucketTable::build(SEED, &equally_weighted((0..9).rev()), 9);
+    assert_eq!(ascending, descending);
 }
 
 fn document(draining: &[u16]) -> ConfigDocument {
@@ -90,43 +98,48 @@
     }
 }
 
-fn segment(last: u8, syn: bool, echo: Option<u32>) -> Vec<u8> {
-    let step =
-        PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, last], 64).tcp(40_000, 8_443, 1, 4_000);
-    let step = if syn { step.syn() } else { step.ack(1) };
+fn segment(service_octet: u8, syn: bool, echo: Option<u32>) -> Vec<u8> {
+    let builder = PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, service_octet], 64)
+        .tcp(40_000, 8_443, 1, 4_000);
+    let builder = if syn { builder.syn() } else { builder.ack(1) };
     let mut packet = Vec::new();
     let options = echo.map(|echo| {
         let mut options = vec![1, 1, 8, 10, 0, 0, 0, 1];
         options.extend(echo.to_be_bytes());
         options
     });
-    step.options_raw(&options.unwrap_or_default())
-        .expect("options")
+    builder
+        .options_raw(&options.unwrap_or_default())
+        .expect("valid TCP options")
         .write(&mut packet, &[])
-        .expect("packet");
+        .expect("write packet");
     packet
 }
 
 #[test]
-fn a_hint_leads_to_its_holder_also_while_it_drains() {
+fn hint_routes_to_draining_holder() {
     let table = RoutingTable::build(&document(&[2]), &KEY);
     let echo = HolderHint(TargetId(2)).timestamp(123_456);
     let packet = segment(10, false, Some(echo));
-    let route = table.route(&decode_packet(&packet).expect("sound")).expect("route");
+    let route =
+        table.route(&decode_packet(&packet).expect("valid packet")).expect("packet has a route");
     assert_eq!((route.target, route.basis), (TargetId(2), RouteBasis::Hint));
     let opening = segment(10, true, Some(echo));
-    let route = table.route(&decode_packet(&opening).expect("sound")).expect("route");
+    let route =
+        table.route(&decode_packet(&opening).expect("valid packet")).expect("packet has a route");
     assert_eq!(route.basis, RouteBasis::Owner);
-    assert_ne!(route.target, TargetId(2), "a draining target takes no opening packet");
+    assert_ne!(route.target, TargetId(2), "a draining target must not receive an opening packet");
 }
 
 #[test]
-fn a_hint_never_leads_to_another_service() {
+fn hint_to_target_of_other_service_is_ignored() {
     let table = RoutingTable::build(&document(&[]), &KEY);
-    for foreign in [4, 5, 6, 8_191] {
-        let echo = HolderHint(TargetId(foreign)).timestamp(9);
+    for other_target in [4, 5, 6, 8_191] {
+        let echo = HolderHint(TargetId(other_target)).timestamp(9);
         let packet = segment(10, false, Some(echo));
-        let route = table.route(&decode_packet(&packet).expect("sound")).expect("route");
+        let route = table
+            .route(&decode_packet(&packet).expect("valid packet"))
+            .expect("packet has a route");
         assert_eq!(route.service, ServiceId(1));
         assert_eq!(route.basis, RouteBasis::Owner);
         assert!(route.target < TargetId(4));
@@ -134,37 +147,37 @@
 }
 
 #[test]
-fn a_rebuilt_table_equals_one_built_anew() {
+fn rebuilt_table_equals_newly_built_table() {
     let first = RoutingTable::build(&document(&[]), &KEY);
     for draining in [&[][..], &[1], &[4], &[0, 1, 4]] {
         let mut next = document(draining);
         next.revision = 6;
         next.targets[3].weight = 300;
         let rebuilt = first.rebuild(&next);
-        let anew = RoutingTable::build(&next, &KEY);
+        let built = RoutingTable::build(&next, &KEY);
         assert_eq!(rebuilt.revision(), 6);
         for id in [ServiceId(1), ServiceId(2)] {
-            let (rebuilt, anew) = (rebuilt.service(id), anew.service(id));
-            let (rebuilt, anew) = (rebuilt.expect("service"), anew.expect("service"));
-            assert_eq!(rebuilt.buckets, anew.buckets);
-            assert_eq!((&rebuilt.active, &rebuilt.members), (&anew.active, &anew.members));
+            let (rebuilt, built) = (rebuilt.service(id), built.service(id));
+            let (rebuilt, built) = (rebuilt.expect("service"), built.expect("service"));
+            assert_eq!(rebuilt.buckets, built.buckets);
+            assert_eq!((&rebuilt.active, &rebuilt.members), (&built.active, &built.members));
         }
     }
 }
 
 #[test]
-fn unknown_destinations_and_empty_services_have_no_route() {
+fn unknown_destination_and_drained_service_are_not_routed() {
     let table = RoutingTable::build(&document(&[4, 5]), &KEY);
     let unknown = segment(99, true, None);
-    let unknown = decode_packet(&unknown).expect("sound");
+    let unknown = decode_packet(&unknown).expect("valid packet");
     assert_eq!(table.route(&unknown), Err(RouteError::UnknownService));
     let drained = segment(20, true, None);
-    let drained = decode_packet(&drained).expect("sound");
+    let drained = decode_packet(&drained).expect("valid packet");
     assert_eq!(table.route(&drained), Err(RouteError::NoTarget));
 }
 
 #[test]
-fn timestamps_never_run_backwards_for_three_days() {
+fn timestamps_increase_for_three_days() {
     let hint = HolderHint(TargetId(8_191));
     let start = 0xFFFF_FFFF_u64;
     let first = hint.timestamp(start);
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,20 +1,20 @@
-//! Parts of documents that routing tables are built from.
+//! Builders for the services and targets of test configuration documents.
 
 use weirhinge_config::{Service, ServiceId, Target, TargetId, TargetState, TransportProtocol};
 
-/// A service at an address that ends in `last`.
-pub fn service(id: u32, last: u8) -> Service {
+/// Builds a TCP service with the address `203.0.113.{last_octet}`.
+pub fn service(id: u32, last_octet: u8) -> Service {
     Service {
         id: ServiceId(id),
         name: format!("service-{id}"),
-        address: [203, 0, 113, last].into(),
+        address: [203, 0, 113, last_octet].into(),
         port: 8_443,
         protocol: TransportProtocol::Tcp,
         proxy_protocol: false,
     }
 }
 
-/// A target of a service.
+/// Builds a target of the service with the identifier `service`.
 pub fn target(id: u16, service: u32, state: TargetState) -> Target {
     Target {
         id: TargetId(id),
