--- a/crates/flow/src/admission.rs
+++ b/crates/flow/src/admission.rs
@@ -1,69 +1,71 @@
-//! Chooses which target admits a new flow.
+//! Admission of new flows: selects the target that accepts a flow.
 //!
-//! The agent that a balancer sends an opening packet to offers the flow along
-//! a short chain of candidates. Each candidate compares the best load so far
-//! with its own back end's load at that moment, and the last one hands the flow
-//! to the best. This is the power of d choices (Mitzenmacher 2001) without
-//! reported loads: nothing that decides is older than the packet's own journey.
+//! The agent that receives an opening packet from a balancer offers the flow along a short chain of
+//! candidate targets. Each candidate compares the lowest load so far with the current load of its
+//! own back end, and the last one assigns the flow to the least loaded candidate. This is power of
+//! d choices (Mitzenmacher 2001) without load reports: no load used in the decision is older than
+//! the time that the packet has been in transit.
 
 use weirhinge_config::TargetId;
 use weirhinge_wire::{Delivery, Offer};
 
-/// Load that no target reports; stands for "no candidate yet".
+/// Sentinel for [`Offer::best_load`]: no candidate with capacity has been found yet. No target has
+/// this load.
 const NO_CANDIDATE_LOAD: u32 = u32::MAX;
-/// Most agents that one opening packet passes, whatever else happens.
-const MAXIMUM_VISITS: u8 = 8;
-/// A load of all slots busy, in the unit of [`Offer::best_load`].
+/// Upper bound on the agents that one opening packet visits, regardless of [`Candidates::limit`].
+const MAX_VISITS: u8 = 8;
+/// Load of a back end with all slots busy, in permille, the unit of [`Offer::best_load`].
 const FULL_LOAD: u64 = 1_000;
-/// Share of the load that open but idle flows add at the connection limit.
-const IDLE_FLOW_LOAD: u64 = 100;
+/// Load in permille that held flows add when the back end is at its connection limit.
+const HELD_FLOWS_LOAD: u64 = 100;
 
-/// An agent's own view of its back end.
+/// Current load and limits of an agent's own back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnLoad {
-    /// Flows that wait for an answer, newly admitted ones included.
+    /// Flows that wait for a response, including newly admitted ones.
     pub in_flight: u32,
-    /// Requests that the back end works on at once.
+    /// Number of requests that the back end processes concurrently.
     pub slots: u32,
-    /// All flows held.
+    /// Number of flows that the agent holds, including idle ones.
     pub flows: u32,
-    /// Most flows that the back end takes.
+    /// Maximum number of flows that the back end accepts.
     pub connections: u32,
-    /// Whether the target may take new flows: neither draining nor stopping.
+    /// Whether the target accepts new flows, which it does unless it is draining or stopping.
     pub accepts: bool,
-    /// Thousandths of full speed that a freshly started back end has reached.
+    /// Current speed in permille of full speed. Below 1,000 while a freshly started back end warms
+    /// up.
     pub warmth: u32,
 }
 
 impl OwnLoad {
-    /// Whether the target can take one more flow.
+    /// Returns `true` if the target can accept one more flow.
     pub fn has_room(&self) -> bool {
         self.accepts && self.flows < self.connections
     }
 
-    /// Load in thousandths of the back end's slots, scaled up while it is cold.
-    /// Idle flows add a little, which spreads standing feeds evenly.
-    pub fn relative(&self) -> u32 {
+    /// Returns the load in permille of the back end's slots, scaled up while the back end is slow.
+    /// Held flows add a small amount even when idle, which spreads long-lived feeds evenly.
+    pub fn load_permille(&self) -> u32 {
         let busy = u64::from(self.in_flight) * FULL_LOAD / u64::from(self.slots.max(1));
-        let idle = u64::from(self.flows) * IDLE_FLOW_LOAD / u64::from(self.connections.max(1));
-        let load = (busy + idle) * FULL_LOAD / u64::from(self.warmth.max(1));
+        let held = u64::from(self.flows) * HELD_FLOWS_LOAD / u64::from(self.connections.max(1));
+        let load = (busy + held) * FULL_LOAD / u64::from(self.warmth.max(1));
         load.min(u64::from(NO_CANDIDATE_LOAD - 1)) as u32
     }
 }
 
-/// Why a new flow is refused. Nothing has reached a back end at this point.
+/// Reason why a new flow is refused. No data of the flow has reached a back end at this point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Every candidate is draining, stopping or at its connection limit.
+    /// All candidates are draining, stopping or at their connection limits.
     NoRoom,
     /// The back end refused the connection.
     BackEndRefused,
-    /// The back end did not take the connection in time.
+    /// The back end did not accept the connection in time.
     BackEndTimeout,
 }
 
 impl RefusalReason {
-    /// The reason's name as it appears in metrics.
+    /// Returns the name of the reason as used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::NoRoom => "no_room",
@@ -73,53 +75,53 @@
     }
 }
 
-/// What an agent does with an opening packet.
+/// How an agent handles an opening packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionStep {
-    /// Admit the flow here.
+    /// Admit the flow at this agent's target.
     Admit,
-    /// Send the packet on to another target.
+    /// Pass the packet on to another target's agent.
     PassOn {
         /// The next target.
         to: TargetId,
-        /// How the packet is delivered there.
+        /// The delivery type to send with the packet.
         delivery: Delivery,
     },
-    /// Refuse the flow: no candidate has room.
+    /// Refuse the flow because no candidate has capacity.
     Refuse(RefusalReason),
 }
 
-/// The candidates of one flow: its bucket's owner first, then the service's
-/// other active targets from a place that the flow's hash picks. Every agent of
-/// one revision walks the same sequence.
+/// Sequence of candidate targets for one flow: the owner of its bucket, then the service's other
+/// active targets, starting at a position derived from the flow hash. All agents with the same
+/// configuration revision use the same sequence.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidates<'a> {
-    /// The target that decides now.
+    /// The target of the agent that makes the decision.
     pub own: TargetId,
-    /// Owner of the flow's bucket under the agent's revision.
+    /// Owner of the flow's bucket at the agent's configuration revision.
     pub owner: Option<TargetId>,
-    /// Targets that take new flows, sorted, under the agent's revision.
+    /// Targets that accept new flows at the agent's configuration revision, sorted by identifier.
     pub active: &'a [TargetId],
-    /// The flow's hash; the same for a repeated packet.
+    /// The flow's hash, which is the same for a retransmission.
     pub flow_hash: u64,
-    /// How many targets to compare.
+    /// Number of targets to compare.
     pub limit: u8,
 }
 
 impl Candidates<'_> {
-    /// The target at a place in the sequence, wrapping around at its end.
-    fn at(&self, place: u8) -> Option<TargetId> {
-        let place = usize::from(place) % self.active.len().max(1);
-        if place == 0 {
+    /// Returns the target at a position in the sequence, which wraps around at its end.
+    fn at(&self, position: u8) -> Option<TargetId> {
+        let position = usize::from(position) % self.active.len().max(1);
+        if position == 0 {
             return self.owner;
         }
         let others = self.active.iter().copied().filter(|&target| Some(target) != self.owner);
         let count = others.clone().count().max(1);
         let start = (self.flow_hash >> 32) as usize % count;
-        others.clone().nth((start + place - 1) % count)
+        others.clone().nth((start + position - 1) % count)
     }
 
-    /// The target to ask after `visited` others; never the one that decides.
+    /// Returns the target to visit after `visited` others, never the deciding target itself.
     fn next(&self, visited: u8) -> Option<TargetId> {
         let next = self.at(visited)?;
         if next != self.own {
@@ -129,58 +131,58 @@
     }
 }
 
-/// Decides one step of an opening packet that arrived by `delivery`.
+/// Decides how to handle an opening packet that arrived with this delivery type.
 pub fn consider(delivery: Delivery, own: &OwnLoad, candidates: &Candidates<'_>) -> AdmissionStep {
     match delivery {
         Delivery::Assigned if own.has_room() => AdmissionStep::Admit,
-        Delivery::Offered(offer) => consider_offer(offer, own, candidates),
-        // Assigned, but the room has gone meanwhile: the offer starts over.
+        Delivery::Offered(offer) => decide_offer(offer, own, candidates),
+        // An assigned target may have lost its capacity in the meantime. The offer then restarts.
         Delivery::Assigned
         | Delivery::Owner
         | Delivery::Hinted
         | Delivery::Forwarded
         | Delivery::Standby => {
             let offer = Offer { best: candidates.own.0, best_load: NO_CANDIDATE_LOAD, visited: 0 };
-            consider_offer(offer, own, candidates)
+            decide_offer(offer, own, candidates)
         }
     }
 }
 
-fn consider_offer(offer: Offer, own: &OwnLoad, candidates: &Candidates<'_>) -> AdmissionStep {
-    let mut best = offer;
-    if own.has_room() && own.relative() < offer.best_load {
-        best.best = candidates.own.0;
-        best.best_load = own.relative();
+fn decide_offer(offer: Offer, own: &OwnLoad, candidates: &Candidates<'_>) -> AdmissionStep {
+    let mut updated = offer;
+    if own.has_room() && own.load_permille() < offer.best_load {
+        updated.best = candidates.own.0;
+        updated.best_load = own.load_permille();
     }
-    best.visited = offer.visited.saturating_add(1);
-    let takes_at_once = best.best == candidates.own.0 && own.has_room() && own.in_flight == 0;
-    if takes_at_once {
+    updated.visited = offer.visited.saturating_add(1);
+    let is_idle_best = updated.best == candidates.own.0 && own.has_room() && own.in_flight == 0;
+    if is_idle_best {
         return AdmissionStep::Admit;
     }
-    if let Some(to) = next_candidate(&best, candidates) {
-        return AdmissionStep::PassOn { to, delivery: Delivery::Offered(best) };
+    if let Some(to) = next_candidate(&updated, candidates) {
+        return AdmissionStep::PassOn { to, delivery: Delivery::Offered(updated) };
     }
-    if best.best_load == NO_CANDIDATE_LOAD {
+    if updated.best_load == NO_CANDIDATE_LOAD {
         return AdmissionStep::Refuse(RefusalReason::NoRoom);
     }
-    if best.best == candidates.own.0 {
+    if updated.best == candidates.own.0 {
         return AdmissionStep::Admit;
     }
-    AdmissionStep::PassOn { to: TargetId(best.best), delivery: Delivery::Assigned }
+    AdmissionStep::PassOn { to: TargetId(updated.best), delivery: Delivery::Assigned }
 }
 
-/// The next target to ask, unless enough have been asked. A chain that has met
-/// no room yet goes on past its usual limit.
-fn next_candidate(best: &Offer, candidates: &Candidates<'_>) -> Option<TargetId> {
-    let wanted = if best.best_load == NO_CANDIDATE_LOAD {
-        MAXIMUM_VISITS
+/// Returns the next target to visit, or `None` if the chain is complete. A chain that has not found
+/// capacity yet continues past [`Candidates::limit`].
+fn next_candidate(offer: &Offer, candidates: &Candidates<'_>) -> Option<TargetId> {
+    let visit_limit = if offer.best_load == NO_CANDIDATE_LOAD {
+        MAX_VISITS
     } else {
-        candidates.limit.min(MAXIMUM_VISITS)
+        candidates.limit.min(MAX_VISITS)
     };
-    // An agent that is not active itself is one visit more than its targets.
-    let reachable = u8::try_from(candidates.active.len() + 1).unwrap_or(u8::MAX);
-    if best.visited >= wanted.min(reachable) {
+    // One visit more than the active targets, because the first agent may not be active itself.
+    let max_reachable = u8::try_from(candidates.active.len() + 1).unwrap_or(u8::MAX);
+    if offer.visited >= visit_limit.min(max_reachable) {
         return None;
     }
-    candidates.next(best.visited)
+    candidates.next(offer.visited)
 }
--- a/crates/flow/src/fence.rs
+++ b/crates/flow/src/fence.rs
@@ -1,26 +1,26 @@
-//! Keeps a packet for one service from ever reaching another.
+//! Rejects misdirected packets, so that a packet for one service never reaches another.
 //!
-//! Addresses and ports change hands; a stale balancer may send what it believes
-//! to be service A to an agent that serves service B by now. The envelope names
-//! the service and the target that the sender meant, and the agent compares
-//! both with its own before anything else.
+//! Addresses and ports are reassigned. A balancer with a stale configuration may send packets for
+//! service A to an agent that now serves service B. The envelope contains the service and target
+//! that the sender intended, and the agent compares both with its own before it processes the
+//! packet.
 
 use weirhinge_config::{ServiceId, TargetId};
 use weirhinge_wire::PacketEnvelope;
 
-/// Why an envelope is not for this agent.
+/// Reason why an agent rejects an envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceError {
     /// The envelope is for another service.
     WrongService,
-    /// The envelope is for another target at this address.
+    /// The envelope is for another target, although it was sent to this agent's address.
     WrongTarget,
-    /// The packet's destination belongs to another service at this agent's revision.
+    /// The packet's destination is unknown or belongs to another service at the agent's revision.
     WrongDestination,
 }
 
 impl FenceError {
-    /// The reason's name as it appears in metrics.
+    /// Returns the name of the reason as used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             FenceError::WrongService => "wrong_service",
@@ -30,22 +30,22 @@
     }
 }
 
-/// What one agent stands for.
+/// The service and target that an agent accepts packets for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
     /// The service that the agent's back end serves.
     pub service: ServiceId,
-    /// The target that the agent stands beside.
+    /// The target that the agent is co-located with.
     pub target: TargetId,
 }
 
 impl Fence {
-    /// Checks an envelope. `destination_service` is the service that has the
-    /// packet's destination at the agent's own revision; an address unknown to
-    /// the agent is refused as well.
+    /// Checks that an envelope is addressed to this agent. `destination_service` is the service
+    /// that listens on the packet's destination at the agent's own configuration revision. An
+    /// unknown destination (`None`) is rejected as well.
     ///
     /// # Errors
-    /// Which of the three disagrees.
+    /// Returns the first of service, target and destination that does not match.
     pub fn check(
         &self,
         envelope: &PacketEnvelope<'_>,
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,19 +1,19 @@
-//! Decisions about flows at an agent: who admits a new one, who holds an
-//! existing one, and when a flow's key may be used again.
+//! An agent's decisions about flows: which target admits a new flow, which agent holds an existing
+//! one, and when a flow key may be reused.
 //!
-//! Pure logic: time, loads and messages are passed in, so that the same code
-//! runs under real processes, a simulation and property tests.
+//! The crate does no I/O and reads no clock. Time, loads and messages are passed in, so that the
+//! same code runs in production, in simulations and in property tests.
 
 pub mod admission;
-pub mod directory;
+pub mod expiring_set;
 pub mod fence;
-pub mod recent;
+pub mod holder_directory;
 pub mod standby;
 pub mod table;
 
 pub use admission::{AdmissionStep, Candidates, OwnLoad, RefusalReason, consider};
-pub use directory::{Directory, LookupStep};
+pub use expiring_set::RecentSet;
 pub use fence::{Fence, FenceError};
-pub use recent::RecentSet;
+pub use holder_directory::{Directory, LookupStep};
 pub use standby::{DuePacket, StandbyQueue};
 pub use table::{FlowPhase, FlowTable, FlowTableError};
--- a/crates/flow/src/standby.rs
+++ b/crates/flow/src/standby.rs
@@ -1,11 +1,11 @@
-//! Opening packets for which this agent stands by.
+//! Standby queue: opening packets that this agent handles if no other agent claims their flows.
 //!
-//! The balancer sends each opening packet to the owner of its bucket and to the
-//! deputy. Whoever admits the flow claims it with both. If no claim has come
-//! when a packet falls due, the deputy acts in the owner's place; after several
-//! such packets in a row it stops waiting for that owner for a while. In the same
-//! way, whoever of the two starts a chain of offers stands by for its candidates.
-//! Two agents may then answer one packet, which the caller settles.
+//! The balancer sends each opening packet to the owner of its bucket and to the standby owner. The
+//! agent that admits the flow sends a claim to both. If no claim has arrived when a packet becomes
+//! due, the standby owner handles it in place of the owner. After several such packets in a row it
+//! considers that owner unresponsive and does not wait for it for a while. Likewise, the agent that
+//! starts a chain of offers is standby for the chain's candidates. Two agents may therefore answer
+//! the same packet; the client decides between them by the answer that it acknowledges.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,50 +13,51 @@
 use weirhinge_config::TargetId;
 use weirhinge_packet::FlowKey;
 
-/// How long the owner has. Longer than a chain of offers and a connection to
-/// the back end take, and than the owner itself waits for its candidates;
-/// shorter than a caller notices.
-const OWNER_DELAY: Duration = Duration::from_millis(250);
-/// How long the candidates of an offer have. Longer than their chain takes
-/// between zones, and so much shorter than the owner's time that the deputy
-/// hears of the claim that follows.
-const CANDIDATES_DELAY: Duration = Duration::from_millis(100);
-/// Unclaimed packets in a row after which an owner counts as silent.
-const SILENT_AFTER: u32 = 3;
-/// How long an owner counts as silent before it is given time again.
-const SILENT_TIME: Duration = Duration::from_secs(3);
-/// Most packets waiting at once; further ones are left to the owner alone.
+/// How long a standby owner waits for a claim before it handles a packet. Longer than a chain of
+/// offers plus a back end connection takes and than [`CANDIDATES_TIMEOUT`], which the owner itself
+/// waits; short enough that clients do not notice.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
+/// How long the agent that starts a chain of offers waits for a claim. Longer than a chain across
+/// zones takes, and so much shorter than [`OWNER_TIMEOUT`] that the claim after a timeout still
+/// reaches the standby owner in time.
+const CANDIDATES_TIMEOUT: Duration = Duration::from_millis(100);
+/// Number of consecutive unclaimed packets after which an owner is considered unresponsive.
+const UNRESPONSIVE_THRESHOLD: u32 = 3;
+/// How long an owner is considered unresponsive before the agent waits for it again.
+const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(3);
+/// Maximum number of queued packets. Further packets are not queued and left to the owner.
 const CAPACITY: usize = 4_096;
 
-/// A packet that has fallen due without a claim.
+/// A packet that became due before its flow was claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuePacket {
-    /// The flow that it opens.
+    /// Key of the flow that the packet opens.
     pub key: FlowKey,
-    /// The packet.
+    /// The bytes of the opening packet.
     pub packet: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Silence {
-    unclaimed: u32,
-    until: Option<Instant>,
+struct MissedClaims {
+    consecutive: u32,
+    unresponsive_until: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedPacket {
     due: Instant,
     awaited: TargetId,
     packet: DuePacket,
 }
 
-/// What one agent stands by for.
+/// Opening packets that an agent holds until they are claimed or due, in the order of their due
+/// times.
 #[derive(Debug)]
 pub struct StandbyQueue {
-    delay: Duration,
-    waiting: VecDeque<Waiting>,
-    keys: HashSet<FlowKey>,
-    silences: HashMap<TargetId, Silence>,
+    timeout: Duration,
+    queue: VecDeque<QueuedPacket>,
+    queued_keys: HashSet<FlowKey>,
+    missed_claims: HashMap<TargetId, MissedClaims>,
 }
 
 impl Default for StandbyQueue {
@@ -66,61 +67,66 @@
 }
 
 impl StandbyQueue {
-    /// The queue of a deputy, which waits for the owners of its packets.
+    /// Creates the queue of a standby owner, which waits for the owners of its packets.
     pub fn for_owners() -> Self {
-        Self::with_delay(OWNER_DELAY)
+        Self::with_timeout(OWNER_TIMEOUT)
     }
 
-    /// The queue of whoever starts chains of offers and waits for the candidates.
+    /// Creates the queue of an agent that starts chains of offers and waits for their candidates.
     pub fn for_candidates() -> Self {
-        Self::with_delay(CANDIDATES_DELAY)
+        Self::with_timeout(CANDIDATES_TIMEOUT)
     }
 
-    fn with_delay(delay: Duration) -> Self {
-        Self { delay, waiting: VecDeque::new(), keys: HashSet::new(), silences: HashMap::new() }
+    fn with_timeout(timeout: Duration) -> Self {
+        Self {
+            timeout,
+            queue: VecDeque::new(),
+            queued_keys: HashSet::new(),
+            missed_claims: HashMap::new(),
+        }
     }
 
-    /// Whether this owner has left several packets in a row unclaimed lately:
-    /// then its packets need not wait.
+    /// Returns `true` if several consecutive packets of this owner were recently left unclaimed.
+    /// Its packets should then be handled without waiting.
     pub fn is_silent(&self, owner: TargetId, now: Instant) -> bool {
-        self.silences
+        self.missed_claims
             .get(&owner)
-            .is_some_and(|silence| silence.until.is_some_and(|until| until > now))
+            .is_some_and(|missed| missed.unresponsive_until.is_some_and(|until| until > now))
     }
 
-    /// Takes a packet to stand by for until `awaited` or another agent claims its
-    /// flow; a repeated one waits only once.
+    /// Queues a packet until `awaited` or another agent claims its flow. Retransmissions of a
+    /// queued packet are ignored.
     pub fn push(&mut self, key: FlowKey, awaited: TargetId, packet: &[u8], now: Instant) {
-        if self.waiting.len() >= CAPACITY || !self.keys.insert(key) {
+        if self.queue.len() >= CAPACITY || !self.queued_keys.insert(key) {
             return;
         }
         let packet = DuePacket { key, packet: packet.to_vec() };
-        self.waiting.push_back(Waiting { due: now + self.delay, awaited, packet });
+        self.queue.push_back(QueuedPacket { due: now + self.timeout, awaited, packet });
     }
 
-    /// When the next packet falls due.
+    /// Returns the time at which the next packet becomes due.
     pub fn next_due(&self) -> Option<Instant> {
-        self.waiting.front().map(|waiting| waiting.due)
+        self.queue.front().map(|queued| queued.due)
     }
 
-    /// Takes the next packet that is due and unclaimed. `is_claimed` tells
-    /// whether somebody has the flow.
+    /// Removes and returns the next packet that is due and unclaimed. `is_claimed` returns whether
+    /// an agent has claimed the flow.
     pub fn take_due(
         &mut self,
         now: Instant,
         mut is_claimed: impl FnMut(&FlowKey) -> bool,
     ) -> Option<DuePacket> {
-        while self.waiting.front().is_some_and(|waiting| waiting.due <= now) {
-            let Waiting { awaited, packet, .. } = self.waiting.pop_front()?;
-            self.keys.remove(&packet.key);
+        while self.queue.front().is_some_and(|queued| queued.due <= now) {
+            let QueuedPacket { awaited, packet, .. } = self.queue.pop_front()?;
+            self.queued_keys.remove(&packet.key);
             if is_claimed(&packet.key) {
-                self.silences.remove(&awaited);
+                self.missed_claims.remove(&awaited);
                 continue;
             }
-            let silence = self.silences.entry(awaited).or_default();
-            silence.unclaimed += 1;
-            if silence.unclaimed >= SILENT_AFTER {
-                silence.until = Some(now + SILENT_TIME);
+            let missed = self.missed_claims.entry(awaited).or_default();
+            missed.consecutive += 1;
+            if missed.consecutive >= UNRESPONSIVE_THRESHOLD {
+                missed.unresponsive_until = Some(now + UNRESPONSIVE_PERIOD);
             }
             return Some(packet);
         }
--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -1,41 +1,41 @@
-//! The flows that an agent holds, and the keys that may not be used again yet.
+//! Flow table: the flows that an agent holds, and the quarantined keys of ended flows.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use weirhinge_packet::FlowKey;
 
-use crate::recent::RecentSet;
+use crate::expiring_set::RecentSet;
 
-/// Most closed keys remembered; 30 s at 2,000 flows a second.
+/// Maximum number of quarantined keys: 30 s at 2,000 flows per second.
 const QUARANTINE_CAPACITY: usize = 60_000;
 
-/// A flow that has been opening for this long may be dropped for a new one when
-/// too many are opening.
-const SPARED_OPENING_TIME: Duration = Duration::from_secs(3);
+/// A flow that has been half-open for at least this long may be evicted in favor of a new one when
+/// the half-open limit is reached.
+const MIN_AGE_FOR_EVICTION: Duration = Duration::from_secs(3);
 
-/// How far a flow has come.
+/// State of a flow's connection setup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowPhase {
-    /// The back end or the caller has not confirmed yet.
+    /// The back end or the client has not completed the handshake yet (half-open).
     Opening,
-    /// Both sides are connected.
+    /// Both the client and the back end are connected.
     Open,
 }
 
-/// Why a flow was not added.
+/// Reason why a flow was not inserted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowTableError {
-    /// As many flows are opening as may.
+    /// The limit of half-open flows is reached, and none of them may be evicted.
     HalfOpenLimit,
-    /// A packet of the key's last use may still be on its way.
+    /// The key was used recently, and packets of its previous flow may still be in transit.
     Quarantined,
-    /// The table holds the flow already.
+    /// The table already holds the flow.
     Present,
 }
 
 impl FlowTableError {
-    /// The reason's name as it appears in metrics.
+    /// Returns the name of the reason as used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             FlowTableError::HalfOpenLimit => "half_open_limit",
@@ -49,70 +49,71 @@
 struct Entry<H> {
     handle: H,
     phase: FlowPhase,
-    began: Instant,
-    /// Whether the flow's packets carry the holder hint.
+    inserted_at: Instant,
+    /// Whether the client's packets carry the holder hint.
     hinted: bool,
 }
 
-/// Flows by key, each with a handle of the caller's choosing.
+/// Maps the key of each flow to a handle of type `H` and to the flow's phase.
 #[derive(Debug)]
 pub struct FlowTable<H> {
     entries: HashMap<FlowKey, Entry<H>>,
     quarantine: RecentSet<FlowKey>,
-    /// Keys in the order in which they began to open; entries whose flow has
-    /// opened or gone since are passed over.
-    by_age: VecDeque<(Instant, FlowKey)>,
-    opening: usize,
+    /// Insertion times and keys of half-open flows, oldest first. May contain stale entries of
+    /// flows that have since opened or ended, which are skipped.
+    half_open_by_age: VecDeque<(Instant, FlowKey)>,
+    half_open_count: usize,
     half_open_limit: usize,
 }
 
 impl<H> FlowTable<H> {
-    /// An empty table. A key rests for `quarantine` after its flow has ended.
+    /// Creates an empty table. A key is quarantined for `quarantine` after its flow has ended.
     pub fn new(half_open_limit: usize, quarantine: Duration) -> Self {
         Self {
             entries: HashMap::new(),
             quarantine: RecentSet::new(quarantine, QUARANTINE_CAPACITY),
-            by_age: VecDeque::new(),
-            opening: 0,
+            half_open_by_age: VecDeque::new(),
+            half_open_count: 0,
             half_open_limit,
         }
     }
 
-    /// Adds a flow in [`FlowPhase::Opening`]. If too many flows are opening, the
-    /// oldest one goes in its place, unless all are young.
+    /// Inserts a flow in [`FlowPhase::Opening`]. If the half-open limit is reached, the oldest
+    /// half-open flow is evicted, provided that it is old enough.
     ///
     /// # Errors
-    /// When the table holds it, its key rests, or too many flows are opening.
+    /// Returns an error if the table already holds the flow, its key is quarantined, or the
+    /// half-open limit is reached and no flow may be evicted.
     pub fn insert(&mut self, key: FlowKey, handle: H, now: Instant) -> Result<(), FlowTableError> {
         self.check_insert(&key, now)?;
-        if self.opening >= self.half_open_limit
-            && let Some(oldest) = self.oldest_opening()
+        if self.half_open_count >= self.half_open_limit
+            && let Some(oldest) = self.oldest_half_open()
         {
             self.remove(&oldest.1, now);
         }
-        self.opening += 1;
-        self.by_age.push_back((now, key));
+        self.half_open_count += 1;
+        self.half_open_by_age.push_back((now, key));
         let phase = FlowPhase::Opening;
-        self.entries.insert(key, Entry { handle, phase, began: now, hinted: false });
+        self.entries.insert(key, Entry { handle, phase, inserted_at: now, hinted: false });
         Ok(())
     }
 
-    /// The flow that has been opening for longest.
-    fn oldest_opening(&mut self) -> Option<(Instant, FlowKey)> {
-        while let Some(&(began, key)) = self.by_age.front() {
+    /// Returns the insertion time and the key of the oldest half-open flow.
+    fn oldest_half_open(&mut self) -> Option<(Instant, FlowKey)> {
+        while let Some(&(inserted_at, key)) = self.half_open_by_age.front() {
             let entry = self.entries.get(&key);
             if entry.is_some_and(|entry| entry.phase == FlowPhase::Opening) {
-                return Some((began, key));
+                return Some((inserted_at, key));
             }
-            self.by_age.pop_front();
+            self.half_open_by_age.pop_front();
         }
         None
     }
 
-    /// Whether [`FlowTable::insert`] would succeed, without adding the flow.
+    /// Checks whether [`FlowTable::insert`] would succeed, without inserting the flow.
     ///
     /// # Errors
-    /// As for [`FlowTable::insert`].
+    /// Returns the same errors as [`FlowTable::insert`].
     pub fn check_insert(&mut self, key: &FlowKey, now: Instant) -> Result<(), FlowTableError> {
         if self.entries.contains_key(key) {
             return Err(FlowTableError::Present);
@@ -120,96 +121,102 @@
         if self.quarantine.contains(key, now) {
             return Err(FlowTableError::Quarantined);
         }
-        if self.opening < self.half_open_limit {
+        if self.half_open_count < self.half_open_limit {
             return Ok(());
         }
-        match self.oldest_opening() {
-            Some((began, _)) if now.duration_since(began) >= SPARED_OPENING_TIME => Ok(()),
+        match self.oldest_half_open() {
+            Some((inserted_at, _)) if now.duration_since(inserted_at) >= MIN_AGE_FOR_EVICTION => {
+                Ok(())
+            }
             _ => Err(FlowTableError::HalfOpenLimit),
         }
     }
 
-    /// Marks a flow as open. `hinted` tells whether its packets carry the holder
-    /// hint.
+    /// Moves a flow to [`FlowPhase::Open`]. `hinted` is whether the client's packets carry the
+    /// holder hint.
     pub fn opened(&mut self, key: &FlowKey, hinted: bool) {
         if let Some(entry) = self.entries.get_mut(key)
             && entry.phase == FlowPhase::Opening
         {
             entry.phase = FlowPhase::Open;
             entry.hinted = hinted;
-            self.opening -= 1;
-            self.trim_ages();
+            self.half_open_count -= 1;
+            self.trim_age_list();
         }
     }
 
-    /// Keeps the list of ages no longer than a few times what it must hold.
-    fn trim_ages(&mut self) {
-        if self.by_age.len() > 2 * self.half_open_limit {
+    /// Removes stale entries from the age list once it exceeds twice the half-open limit.
+    fn trim_age_list(&mut self) {
+        if self.half_open_by_age.len() > 2 * self.half_open_limit {
             let entries = &self.entries;
-            self.by_age.retain(|(_, key)| {
+            self.half_open_by_age.retain(|(_, key)| {
                 entries.get(key).is_some_and(|entry| entry.phase == FlowPhase::Opening)
             });
         }
     }
 
-    /// Removes a flow and lets its key rest. Returns its handle.
+    /// Removes a flow and quarantines its key. Returns its handle.
     pub fn remove(&mut self, key: &FlowKey, now: Instant) -> Option<H> {
         let handle = self.release(key)?;
         self.quarantine.insert(*key, now);
         Some(handle)
     }
 
-    /// Removes a flow whose key may be used again at once. Returns its handle.
+    /// Removes a flow without quarantining its key. Returns its handle.
     pub fn release(&mut self, key: &FlowKey) -> Option<H> {
         let entry = self.entries.remove(key)?;
         if entry.phase == FlowPhase::Opening {
-            self.opening -= 1;
-            self.trim_ages();
+            self.half_open_count -= 1;
+            self.trim_age_list();
         }
         Some(entry.handle)
     }
 
-    /// How far a flow has come, and for how long it has been held.
+    /// Returns a flow's phase and the time since its insertion.
     pub fn phase(&self, key: &FlowKey, now: Instant) -> Option<(FlowPhase, Duration)> {
         let entry = self.entries.get(key)?;
-        Some((entry.phase, now.saturating_duration_since(entry.began)))
+        Some((entry.phase, now.saturating_duration_since(entry.inserted_at)))
     }
 
-    /// The handle of a flow.
+    /// Returns the handle of a flow.
     pub fn get(&self, key: &FlowKey) -> Option<&H> {
         self.entries.get(key).map(|entry| &entry.handle)
     }
 
-    /// Whether a key rests at this moment.
+    /// Returns `true` if the key is quarantined at `now`.
     pub fn is_quarantined(&mut self, key: &FlowKey, now: Instant) -> bool {
         self.quarantine.contains(key, now)
     }
 
-    /// Drops every flow with its handle.
+    /// Removes all flows and drops their handles. Quarantined keys remain quarantined.
     pub fn clear(&mut self) {
         self.entries.clear();
-        self.by_age.clear();
-        self.opening = 0;
+        self.half_open_by_age.clear();
+        self.half_open_count = 0;
     }
 
-    /// Number of flows held.
+    /// Returns the number of flows, half-open ones included.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no flow is held.
+    /// Returns `true` if the table holds no flow.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Number of flows that are opening.
-    pub fn opening(&self) -> usize {
-        self.opening
+    /// Returns the number of half-open flows.
+    pub fn half_open_count(&self) -> usize {
+        self.half_open_count
     }
 
-    /// Open flows whose packets carry no hint, in no particular order.
+    /// Iterates over the keys of open flows whose packets carry no holder hint, in arbitrary order.
     pub fn open_without_hint(&self) -> impl Iterator<Item = &FlowKey> {
-        let is_wanted = |entry: &Entry<H>| entry.phase == FlowPhase::Open && !entry.hinted;
-        self.entries.iter().filter(move |(_, entry)| is_wanted(entry)).map(|(key, _)| key)
+        let is_open_without_hint =
+            |entry: &Entry<H>| entry.phase == FlowPhase::Open && !entry.hinted;
+        self.entries
+            .iter()
+            .filter(move |(_, entry)| is_open_without_hint(entry))
+            .map(|(key, _)| key)
     }
 }
--- a/crates/flow/tests/admission.rs
+++ b/crates/flow/tests/admission.rs
@@ -1,5 +1,5 @@
-//! A chain of agents always ends, admits where there is room, and refuses only
-//! when no agent has any.
+//! Admission chains: every chain terminates, admits to a target with capacity, and refuses only if
+//! no target has capacity.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use weirhinge_flow::{AdmissionStep, Candidates, OwnLoad, consider};
 use weirhinge_wire::Delivery;
 
-/// More steps than any chain may take.
+/// Chains that take this many steps are reported as endless. Above the longest allowed chain.
 const STEP_LIMIT: usize = 16;
 
 fn load(in_flight: u32, accepts: bool) -> OwnLoad {
@@ -16,19 +16,19 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum End {
+enum Outcome {
     Admitted(TargetId),
     Refused,
     Endless,
 }
 
 struct Chain {
-    end: End,
+    outcome: Outcome,
     visited: Vec<TargetId>,
 }
 
-/// Walks a chain from the agent `first` over agents that all see `active`.
-fn walk(
+/// Runs a chain that starts at the agent of `first`. All agents have the same active targets.
+fn run_chain(
     loads: &BTreeMap<TargetId, OwnLoad>,
     active: &[TargetId],
     first: TargetId,
@@ -36,29 +36,29 @@
     flow_hash: u64,
     limit: u8,
 ) -> Chain {
-    let mut at = first;
+    let mut current = first;
     let mut delivery = Delivery::Owner;
     let mut visited = Vec::new();
     for _ in 0..STEP_LIMIT {
-        visited.push(at);
-        let candidates = Candidates { own: at, owner: Some(owner), active, flow_hash, limit };
-        match consider(delivery, &loads[&at], &candidates) {
-            AdmissionStep::Admit => return Chain { end: End::Admitted(at), visited },
-            AdmissionStep::Refuse(_) => return Chain { end: End::Refused, visited },
+        visited.push(current);
+        let candidates = Candidates { own: current, owner: Some(owner), active, flow_hash, limit };
+        match consider(delivery, &loads[&current], &candidates) {
+            AdmissionStep::Admit => return Chain { outcome: Outcome::Admitted(current), visited },
+            AdmissionStep::Refuse(_) => return Chain { outcome: Outcome::Refused, visited },
             AdmissionStep::PassOn { to, delivery: next } => {
-                at = to;
+                current = to;
                 delivery = next;
             }
         }
     }
-    Chain { end: End::Endless, visited }
+    Chain { outcome: Outcome::Endless, visited }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_chain_ends_where_there_is_room(
+    fn chain_admits_to_least_loaded_visited_target(
         agents in proptest::collection::vec((0_u32..10, any::<bool>()), 1..9),
         flow_hash in any::<u64>(),
         owner in any::<prop::sample::Index>(),
@@ -71,53 +71,61 @@
             .collect();
         let active: Vec<TargetId> = loads.keys().copied().collect();
         let owner = active[owner.index(active.len())];
-        let chain = walk(&loads, &active, owner, owner, flow_hash, limit);
-        let any_room = loads.values().any(OwnLoad::has_room);
-        match chain.end {
-            End::Admitted(target) => {
+        let chain = run_chain(&loads, &active, owner, owner, flow_hash, limit);
+        let any_capacity = loads.values().any(OwnLoad::has_room);
+        match chain.outcome {
+            Outcome::Admitted(target) => {
                 prop_assert!(loads[&target].has_room());
                 let best = chain.visited.iter().map(|target| &loads[target])
-                    .filter(|load| load.has_room()).map(OwnLoad::relative).min();
-                prop_assert_eq!(Some(loads[&target].relative()), best);
+                    .filter(|load| load.has_room()).map(OwnLoad::load_permille).min();
+                prop_assert_eq!(Some(loads[&target].load_permille()), best);
             }
-            End::Refused => prop_assert!(!any_room, "{:?}", chain.visited),
-            End::Endless => prop_assert!(false, "endless chain {:?}", chain.visited),
+            Outcome::Refused => prop_assert!(
+                !any_capacity,
+                "refused despite capacity, visited {:?}",
+                chain.visited
+            ),
+            Outcome::Endless => prop_assert!(
+                false,
+                "chain did not terminate, visited {:?}",
+                chain.visited
+            ),
         }
     }
 
     #[test]
-    fn an_agent_that_left_the_configuration_passes_on(
-        busy in proptest::collection::vec(0_u32..10, 2..7),
+    fn agent_of_removed_target_passes_flow_on(
+        in_flight_counts in proptest::collection::vec(0_u32..10, 2..7),
         flow_hash in any::<u64>(),
     ) {
-        let left = TargetId(100);
-        let mut loads: BTreeMap<TargetId, OwnLoad> = busy
+        let removed = TargetId(100);
+        let mut loads: BTreeMap<TargetId, OwnLoad> = in_flight_counts
             .iter()
             .enumerate()
             .map(|(id, &in_flight)| (TargetId(id as u16), load(in_flight, true)))
             .collect();
         let active: Vec<TargetId> = loads.keys().copied().collect();
-        loads.insert(left, load(0, false));
-        let chain = walk(&loads, &active, left, active[0], flow_hash, 3);
-        prop_assert!(matches!(chain.end, End::Admitted(target) if target != left));
+        loads.insert(removed, load(0, false));
+        let chain = run_chain(&loads, &active, removed, active[0], flow_hash, 3);
+        prop_assert!(matches!(chain.outcome, Outcome::Admitted(target) if target != removed));
     }
 }
 
 #[test]
-fn a_repeated_packet_walks_the_same_chain() {
+fn retransmission_visits_same_targets() {
     let loads: BTreeMap<TargetId, OwnLoad> =
         (0..7).map(|id| (TargetId(id), load(3, true))).collect();
     let active: Vec<TargetId> = loads.keys().copied().collect();
-    let first = walk(&loads, &active, TargetId(2), TargetId(2), 0xDEAD_BEEF_0000_0001, 3);
-    let second = walk(&loads, &active, TargetId(2), TargetId(2), 0xDEAD_BEEF_0000_0001, 3);
+    let first = run_chain(&loads, &active, TargetId(2), TargetId(2), 0xDEAD_BEEF_0000_0001, 3);
+    let second = run_chain(&loads, &active, TargetId(2), TargetId(2), 0xDEAD_BEEF_0000_0001, 3);
     assert_eq!(first.visited, second.visited);
-    assert_eq!(first.visited.len(), 4, "three candidates and the way back to the best");
+    assert_eq!(first.visited.len(), 4, "three candidates, then the assignment to the best one");
 }
 
-/// The fault behind a needless refusal that rehearsals found: the best target
-/// of a chain was drained before the flow arrived there.
+/// Guards against an unnecessary refusal: the best target of a chain is drained before the assigned
+/// flow arrives there.
 #[test]
-fn a_flow_assigned_to_a_target_without_room_starts_over() {
+fn flow_assigned_to_target_without_capacity_is_offered_again() {
     let active: Vec<TargetId> = (0..4).map(TargetId).collect();
     let candidates = Candidates {
         own: TargetId(9),
@@ -134,16 +142,16 @@
 }
 
 #[test]
-fn a_cold_back_end_counts_as_busier() {
-    let warm = load(2, true);
-    let cold = OwnLoad { warmth: 100, ..warm };
-    assert_eq!(cold.relative(), 10 * warm.relative());
+fn load_is_scaled_up_during_warm_up() {
+    let full_speed = load(2, true);
+    let warming_up = OwnLoad { warmth: 100, ..full_speed };
+    assert_eq!(warming_up.load_permille(), 10 * full_speed.load_permille());
 }
 
 #[test]
-fn standing_feeds_weigh_a_little() {
-    let empty = load(0, true);
-    let feeds = OwnLoad { flows: 1_000, ..empty };
-    assert!(feeds.relative() > empty.relative());
-    assert!(feeds.relative() < load(1, true).relative());
+fn idle_flows_add_less_load_than_one_request() {
+    let no_flows = load(0, true);
+    let idle_flows = OwnLoad { flows: 1_000, ..no_flows };
+    assert!(idle_flows.load_permille() > no_flows.load_permille());
+    assert!(idle_flows.load_permille() < load(1, true).load_permille());
 }
--- a/crates/flow/tests/state.rs
+++ b/crates/flow/tests/state.rs
@@ -1,4 +1,4 @@
-//! The flow table, the directory and the fence.
+//! Flow table, holder directory, expiring set, standby queue and fence.
 
 use std::time::{Duration, Instant};
 
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn a_key_rests_after_its_flow() {
+fn key_is_quarantined_after_removal() {
     let mut table = FlowTable::new(4, QUARANTINE);
     let start = Instant::now();
-    table.insert(key(1), "first", start).expect("inserted");
+    table.insert(key(1), "first", start).expect("flow is inserted");
     assert_eq!(table.insert(key(1), "again", start), Err(FlowTableError::Present));
     assert_eq!(table.remove(&key(1), start), Some("first"));
     let early = start + QUARANTINE - Duration::from_millis(1);
@@ -33,46 +33,46 @@
 }
 
 #[test]
-fn a_released_key_is_free_at_once() {
+fn released_key_is_not_quarantined() {
     let mut table = FlowTable::new(4, QUARANTINE);
     let start = Instant::now();
-    table.insert(key(1), (), start).expect("inserted");
+    table.insert(key(1), (), start).expect("flow is inserted");
     assert_eq!(table.release(&key(1)), Some(()));
     assert_eq!(table.insert(key(1), (), start), Ok(()));
 }
 
 #[test]
-fn opening_flows_are_bounded_and_the_oldest_yields() {
+fn oldest_half_open_flow_is_evicted_at_limit() {
     let mut table = FlowTable::new(3, QUARANTINE);
     let start = Instant::now();
     for port in 1..=3 {
-        table.insert(key(port), port, start).expect("inserted");
+        table.insert(key(port), port, start).expect("flow is inserted");
     }
     table.opened(&key(1), false);
-    table.insert(key(4), 4, start).expect("an open flow is not opening");
+    table.insert(key(4), 4, start).expect("open flows do not count towards the half-open limit");
     assert_eq!(table.insert(key(5), 5, start), Err(FlowTableError::HalfOpenLimit));
     let later = start + Duration::from_secs(3);
-    table.insert(key(5), 5, later).expect("the oldest opening flow yields");
-    assert_eq!(table.get(&key(2)), None, "the oldest opening flow");
-    assert_eq!(table.get(&key(1)), Some(&1), "an open flow never yields");
-    assert_eq!(table.opening(), 3);
+    table.insert(key(5), 5, later).expect("the oldest half-open flow is evicted");
+    assert_eq!(table.get(&key(2)), None, "the oldest half-open flow was evicted");
+    assert_eq!(table.get(&key(1)), Some(&1), "an open flow is never evicted");
+    assert_eq!(table.half_open_count(), 3);
 }
 
 #[test]
-fn a_flood_of_openings_keeps_the_table_bounded() {
+fn syn_flood_does_not_exceed_half_open_limit() {
     let mut table = FlowTable::new(16, QUARANTINE);
     let start = Instant::now();
-    for number in 0..20_000_u32 {
-        let now = start + Duration::from_millis(u64::from(number));
-        let _ = table.insert(key((number % 60_000) as u16), (), now);
-        assert!(table.opening() <= 16 && table.len() <= 16);
+    for attempt in 0..20_000_u32 {
+        let now = start + Duration::from_millis(u64::from(attempt));
+        let _ = table.insert(key((attempt % 60_000) as u16), (), now);
+        assert!(table.half_open_count() <= 16 && table.len() <= 16);
     }
 }
 
 const OTHERS: [TargetId; 2] = [TargetId(2), TargetId(3)];
 
 #[test]
-fn silence_is_never_taken_for_absence() {
+fn missing_answer_does_not_mean_absent() {
     let mut directory = Directory::default();
     let start = Instant::now();
     assert_eq!(directory.locate(&key(1), &OTHERS, b"a", start), LookupStep::Ask);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn held_packets_go_on_with_the_answer() {
+fn buffered_packets_are_released_to_holder() {
     let mut directory = Directory::default();
     let now = Instant::now();
     assert_eq!(directory.locate(&key(1), &OTHERS, b"one", now), LookupStep::Ask);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_holder_that_denies_is_asked_about_again() {
+fn denial_by_holder_restarts_query() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.answered(&key(1), TargetId(3), Holding::Open, now);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_holder_that_left_the_configuration_is_forgotten() {
+fn holder_removed_from_configuration_is_ignored() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.answered(&key(1), TargetId(3), Holding::Open, now);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_directory_is_bounded_and_forgets() {
+fn directory_is_bounded_and_entries_expire() {
     let mut directory = Directory::default();
     let now = Instant::now();
     for port in 0..40_000 {
@@ -136,24 +136,24 @@
     assert!(directory.len() <= 16_384);
     directory.expire(now + Duration::from_secs(60));
     assert!(directory.is_empty());
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"held again", now), LookupStep::Ask);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"buffered again", now), LookupStep::Ask);
     assert_eq!(directory.answered(&key(1), TargetId(2), Holding::Open, now).len(), 1);
 }
 
 #[test]
-fn a_recent_set_is_bounded_in_time_and_number() {
+fn expiring_set_is_bounded_by_lifetime_and_capacity() {
     let mut set = RecentSet::new(Duration::from_secs(1), 2);
     let now = Instant::now();
     assert!(set.insert(1, now));
     assert!(!set.insert(1, now));
     assert!(set.insert(2, now) && set.insert(3, now));
-    assert!(!set.contains(&1, now), "the oldest goes when the set is full");
+    assert!(!set.contains(&1, now), "the oldest member is evicted when the set is full");
     assert!(set.contains(&3, now));
     assert!(!set.contains(&3, now + Duration::from_secs(1)));
 }
 
 #[test]
-fn the_fence_lets_nothing_pass_to_another_service_or_target() {
+fn fence_rejects_other_service_target_and_destination() {
     let fence = Fence { service: ServiceId(1), target: TargetId(4) };
     let envelope = PacketEnvelope {
         revision: 1,
@@ -163,39 +163,39 @@
         hops: 0,
         packet: &[],
     };
-    let own = Some(ServiceId(1));
-    assert_eq!(fence.check(&envelope, own), Ok(()));
+    let own_service = Some(ServiceId(1));
+    assert_eq!(fence.check(&envelope, own_service), Ok(()));
     let other_service = PacketEnvelope { service: 2, ..envelope };
-    assert_eq!(fence.check(&other_service, own), Err(FenceError::WrongService));
+    assert_eq!(fence.check(&other_service, own_service), Err(FenceError::WrongService));
     let other_target = PacketEnvelope { target: 5, ..envelope };
-    assert_eq!(fence.check(&other_target, own), Err(FenceError::WrongTarget));
+    assert_eq!(fence.check(&other_target, own_service), Err(FenceError::WrongTarget));
     assert_eq!(fence.check(&envelope, Some(ServiceId(2))), Err(FenceError::WrongDestination));
     assert_eq!(fence.check(&envelope, None), Err(FenceError::WrongDestination));
 }
 
 #[test]
-fn a_silent_owner_is_not_waited_for_until_it_claims_again() {
+fn owner_is_unresponsive_after_missed_claims_until_it_claims_again() {
     let mut queue = StandbyQueue::default();
     let owner = TargetId(2);
     let mut now = Instant::now();
     for port in 0..3 {
         assert!(!queue.is_silent(owner, now));
         queue.push(key(port), owner, b"opening", now);
-        queue.push(key(port), owner, b"repeated", now);
-        now = queue.next_due().expect("waiting");
+        queue.push(key(port), owner, b"retransmission", now);
+        now = queue.next_due().expect("a packet is queued");
         assert!(queue.take_due(now, |_| false).is_some());
-        assert!(queue.take_due(now, |_| false).is_none(), "a repeated packet waits once");
+        assert!(queue.take_due(now, |_| false).is_none(), "a retransmission is not queued again");
     }
     assert!(queue.is_silent(owner, now));
     assert!(!queue.is_silent(TargetId(3), now));
     queue.push(key(9), owner, b"opening", now);
-    now = queue.next_due().expect("waiting");
-    assert!(queue.take_due(now, |_| true).is_none(), "claimed");
+    now = queue.next_due().expect("a packet is queued");
+    assert!(queue.take_due(now, |_| true).is_none(), "a claimed packet is not returned");
     assert!(!queue.is_silent(owner, now));
 }
 
 #[test]
-fn standing_by_is_bounded() {
+fn standby_queue_is_bounded() {
     let mut queue = StandbyQueue::default();
     let now = Instant::now();
     for port in 0..10_000 {
@@ -209,29 +209,33 @@
     assert_eq!(taken, 4_096);
 }
 
-/// The fault behind a flow without answer that rehearsals found: a new owner
-/// knew only a claim that had lost, and the flow was open elsewhere.
+/// Guards against a flow that gets no response: a new owner knows only the claim of an agent that
+/// the client did not choose, while the flow is open at another agent.
 #[test]
-fn an_old_claim_is_doubted() {
+fn other_agents_are_queried_about_old_claim() {
     let mut directory = Directory::default();
     let start = Instant::now();
     directory.answered(&key(1), TargetId(2), Holding::Opening, start);
     let forward = LookupStep::Forward(vec![TargetId(2)]);
     assert_eq!(directory.locate(&key(1), &OTHERS, b"a", start), forward);
     let later = start + Duration::from_secs(1);
-    let doubted = LookupStep::ForwardAndAsk(vec![TargetId(2)]);
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", later), doubted);
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", later), forward, "asked just now");
+    let forward_and_query = LookupStep::ForwardAndAsk(vec![TargetId(2)]);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", later), forward_and_query);
+    assert_eq!(
+        directory.locate(&key(1), &OTHERS, b"a", later),
+        forward,
+        "the query was sent just now"
+    );
     directory.answered(&key(1), TargetId(3), Holding::Open, later);
     let step = directory.locate(&key(1), &OTHERS, b"a", later);
     assert_eq!(step, LookupStep::Forward(vec![TargetId(3)]));
 }
 
-/// Two agents answered one opening packet, and the claim of the one whose answer the caller
-/// took up came a moment after its first request: that had gone to the other one alone, and
-/// was answered only after the caller had sent it again.
+/// Guards against a delayed response: two agents answer one opening packet, and the claim of the
+/// agent that the client chooses arrives after the client's first request. Without buffering, only
+/// the other agent gets that request, and the client has to retransmit it.
 #[test]
-fn held_packets_go_on_to_each_later_claimant() {
+fn buffered_packets_are_released_to_each_later_claimant() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.answered(&key(1), TargetId(2), Holding::Opening, now);
@@ -239,12 +243,18 @@
     assert_eq!(step, LookupStep::Forward(vec![TargetId(2)]));
     let released = directory.answered(&key(1), TargetId(3), Holding::Opening, now);
     assert_eq!(released, [b"request".to_vec()]);
-    assert!(directory.answered(&key(1), TargetId(3), Holding::Opening, now).is_empty(), "once");
-    assert!(directory.answered(&key(1), TargetId(3), Holding::Open, now).is_empty(), "it has it");
+    assert!(
+        directory.answered(&key(1), TargetId(3), Holding::Opening, now).is_empty(),
+        "released once"
+    );
+    assert!(
+        directory.answered(&key(1), TargetId(3), Holding::Open, now).is_empty(),
+        "a claimant has already received the packet"
+    );
 }
 
 #[test]
-fn held_packets_go_on_to_a_holder_that_never_claimed() {
+fn buffered_packets_are_released_to_holder_without_claim() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.answered(&key(1), TargetId(2), Holding::Opening, now);
@@ -253,9 +263,9 @@
     assert_eq!(released, [b"request".to_vec()]);
 }
 
-/// The same at an agent whose own half-open flow was handed the packet.
+/// The packet was delivered to this agent's own half-open flow, and another agent claims the flow.
 #[test]
-fn what_an_own_flow_was_handed_is_held_until_it_opens() {
+fn packets_of_own_half_open_flow_are_buffered_until_forgotten() {
     let mut directory = Directory::default();
     let now = Instant::now();
     directory.hold_for_claimants(&key(1), b"request", now);
@@ -266,9 +276,10 @@
     assert!(directory.answered(&key(2), TargetId(3), Holding::Opening, now).is_empty());
 }
 
-/// Packets are held for a moment each: what is held and never released would leave no room.
+/// Guards against a leak: if packets of expired flows still counted towards the total limit, no
+/// further packets could be buffered.
 #[test]
-fn what_is_held_makes_room_again() {
+fn expired_packets_free_buffer_capacity() {
     let mut directory = Directory::default();
     let start = Instant::now();
     for round in 0..4 {
