--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -26,16 +26,16 @@
         if opens || arrival.envelope.delivery == Delivery::Forwarded {
             return Dispatch::Deliver(key);
         }
-        let suspicious = age >= SUSPICIOUS_OPENING || self.directory.knows_claim(&key);
+        let suspicious = age >= SUSPICIOUS_OPENING || self.directory.has_claim(&key);
         if !suspicious {
             // Another agent's claim may still be on its way.
-            self.directory.hold_for_claimants(&key, arrival.envelope.packet, arrival.now);
+            self.directory.buffer_for_claimants(&key, arrival.envelope.packet, arrival.now);
             return Dispatch::Deliver(key);
         }
         let further = match self.locate(arrival) {
-            LookupStep::Ask => self.ask(arrival),
+            LookupStep::Query => self.ask(arrival),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndAsk(holders) => self.forward_and_ask(arrival, &holders),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
             LookupStep::Wait | LookupStep::Absent => return Dispatch::Deliver(key),
         };
         Dispatch::Several(vec![Dispatch::Deliver(key), further])
@@ -44,7 +44,7 @@
     /// Notes that the handshake of a flow held here is complete. Packets without
     /// timestamps carry no hint and go to the bucket's owner, which is told.
     pub fn opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
-        self.flows.opened(key, has_timestamps);
+        self.flows.mark_open(key, has_timestamps);
         self.directory.forget(key);
         if has_timestamps {
             return None;
@@ -92,10 +92,10 @@
             return self.pass_on(arrival, owner, Delivery::Owner);
         }
         match self.locate(arrival) {
-            LookupStep::Ask => self.ask(arrival),
+            LookupStep::Query => self.ask(arrival),
             LookupStep::Wait => Dispatch::Drop("awaiting_holder"),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndAsk(holders) => self.forward_and_ask(arrival, &holders),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
             LookupStep::Absent if self.is_stale() => Dispatch::Drop("stale_view"),
             LookupStep::Absent => reset(&arrival.view.key, segment, "unknown_flow"),
         }
@@ -132,18 +132,18 @@
         let changed = arrival.now.saturating_duration_since(self.last_change);
         if changed < UDP_IDLE_TIMEOUT {
             match self.locate(arrival) {
-                LookupStep::Ask => return self.ask(arrival),
+                LookupStep::Query => return self.ask(arrival),
                 LookupStep::Wait => return Dispatch::Drop("awaiting_holder"),
                 LookupStep::Forward(holders) => return self.forward(arrival, &holders),
-                LookupStep::ForwardAndAsk(holders) => {
+                LookupStep::ForwardAndQuery(holders) => {
                     return self.forward_and_ask(arrival, &holders);
                 }
                 LookupStep::Absent if self.is_stale() => return Dispatch::Drop("stale_view"),
                 LookupStep::Absent => {}
             }
         }
-        if !self.own_load(arrival).has_room() {
-            return Dispatch::Drop(RefusalReason::NoRoom.name());
+        if !self.own_load(arrival).has_capacity() {
+            return Dispatch::Drop(RefusalReason::NoCapacity.name());
         }
         match self.flows.check_insert(&arrival.view.key, arrival.now) {
             Ok(()) => self.admit(arrival),
@@ -230,7 +230,7 @@
         }
         let key = FlowKey::from(answer.flow);
         let holder = TargetId(answer.from);
-        let packets = self.directory.answered(&key, holder, answer.holding, now);
+        let packets = self.directory.record_answer(&key, holder, answer.holding, now);
         let own_phase = self.flows.phase(&key, now).map(|(phase, _)| phase);
         let gives_up = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
         match (gives_up, self.release(packets, holder)) {
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use weirhinge_config::TargetId;
-use weirhinge_flow::{Directory, FlowPhase, FlowTable, RecentSet, StandbyQueue};
+use weirhinge_flow::{ExpiringSet, FlowPhase, FlowTable, HolderDirectory, StandbyQueue};
 use weirhinge_packet::{
     FlowKey, PacketView, TcpSegment, build_tcp_reset, decode_packet, verify_checksums,
 };
@@ -125,11 +125,11 @@
     view: AgentView,
     /// Flows held here.
     pub flows: FlowTable<H>,
-    directory: Directory,
+    directory: HolderDirectory,
     standby: StandbyQueue,
     /// Opening packets that this agent has offered to candidates.
     offered: StandbyQueue,
-    passed_on: RecentSet<FlowKey>,
+    passed_on: ExpiringSet<FlowKey>,
     started: Instant,
     last_change: Instant,
     suspect_until: Option<Instant>,
@@ -156,10 +156,10 @@
             candidates,
             view,
             flows: FlowTable::new(half_open_limit, QUARANTINE),
-            directory: Directory::default(),
+            directory: HolderDirectory::default(),
             standby: StandbyQueue::for_owners(),
             offered: StandbyQueue::for_candidates(),
-            passed_on: RecentSet::new(REPEATED_OFFER, REPEATED_OFFER_CAPACITY),
+            passed_on: ExpiringSet::new(REPEATED_OFFER, REPEATED_OFFER_CAPACITY),
             started: now,
             last_change: now,
             suspect_until: None,
@@ -268,8 +268,8 @@
     }
 
     /// The deputy of the flow's bucket under this agent's own revision.
-    fn deputy(&self, key: &FlowKey) -> Option<TargetId> {
-        self.view.deputy(key)
+    fn standby_owner(&self, key: &FlowKey) -> Option<TargetId> {
+        self.view.standby_owner(key)
     }
 
     fn pass_on(&self, arrival: &Arrival<'_>, to: TargetId, delivery: Delivery) -> Dispatch {
--- a/crates/agent/src/dispatch/opening.rs
+++ b/crates/agent/src/dispatch/opening.rs
@@ -3,8 +3,10 @@
 use std::time::{Duration, Instant};
 
 use weirhinge_config::TargetId;
-use weirhinge_flow::admission::{AdmissionStep, Candidates, OwnLoad, RefusalReason, consider};
-use weirhinge_flow::{Directory, DuePacket, FlowTable};
+use weirhinge_flow::admission::{
+    AdmissionStep, BackEndLoad, Candidates, RefusalReason, decide_admission,
+};
+use weirhinge_flow::{DuePacket, FlowTable, HolderDirectory};
 use weirhinge_packet::FlowKey;
 use weirhinge_wire::{Delivery, Holding};
 
@@ -34,8 +36,8 @@
         let key = arrival.view.key;
         let owner = self.owner(&key).filter(|&owner| owner != self.own_target);
         match owner {
-            Some(_) if self.directory.knows_claim(&key) => Dispatch::Drop("claimed"),
-            Some(owner) if !self.standby.is_silent(owner, arrival.now) => {
+            Some(_) if self.directory.has_claim(&key) => Dispatch::Drop("claimed"),
+            Some(owner) if !self.standby.is_unresponsive(owner, arrival.now) => {
                 self.standby.push(key, owner, arrival.envelope.packet, arrival.now);
                 Dispatch::Learned
             }
@@ -72,7 +74,7 @@
         if let Err(error) = self.flows.check_insert(&arrival.view.key, arrival.now) {
             return Dispatch::Drop(error.name());
         }
-        let step = consider(
+        let step = decide_admission(
             arrival.envelope.delivery,
             &self.own_load(arrival),
             &self.candidates_for(arrival, self.candidates),
@@ -100,7 +102,7 @@
         let starts_here =
             !matches!(arrival.envelope.delivery, Delivery::Offered(_) | Delivery::Assigned);
         let key = arrival.view.key;
-        let is_told = [self.owner(&key), self.deputy(&key)].contains(&Some(self.own_target));
+        let is_told = [self.owner(&key), self.standby_owner(&key)].contains(&Some(self.own_target));
         if starts_here && is_told {
             self.offered.push(key, first, arrival.envelope.packet, arrival.now);
         }
@@ -111,8 +113,8 @@
     /// packets then belong to them.
     pub(super) fn admit(&self, arrival: &Arrival<'_>) -> Dispatch {
         let key = arrival.view.key;
-        let (owner, deputy) = (self.owner(&key), self.deputy(&key));
-        let announce = [owner, deputy]
+        let (owner, standby_owner) = (self.owner(&key), self.standby_owner(&key));
+        let announce = [owner, standby_owner]
             .into_iter()
             .filter_map(|target| self.announcement_to(target?, &key, Holding::Opening))
             .collect();
@@ -126,9 +128,9 @@
         }
     }
 
-    pub(super) fn own_load(&self, arrival: &Arrival<'_>) -> OwnLoad {
+    pub(super) fn own_load(&self, arrival: &Arrival<'_>) -> BackEndLoad {
         let suspect = self.suspect_until.is_some_and(|until| until > arrival.now);
-        OwnLoad {
+        BackEndLoad {
             in_flight: arrival.in_flight,
             slots: arrival.own.slots,
             flows: u32::try_from(self.flows.len()).unwrap_or(u32::MAX),
@@ -137,7 +139,7 @@
                 && !self.stopping
                 && !suspect
                 && self.has_joined(arrival.now),
-            warmth: warmth(arrival.now.saturating_duration_since(self.started)),
+            speed_permille: speed_permille(arrival.now.saturating_duration_since(self.started)),
         }
     }
 
@@ -163,15 +165,15 @@
 /// Whether somebody has admitted the flow: another agent, which has said so, or
 /// this one, where it may have come to its end already.
 fn is_claimed<H>(
-    directory: &Directory,
+    directory: &HolderDirectory,
     flows: &mut FlowTable<H>,
     key: &FlowKey,
     now: Instant,
 ) -> bool {
-    directory.knows_claim(key) || flows.get(key).is_some() || flows.is_quarantined(key, now)
+    directory.has_claim(key) || flows.get(key).is_some() || flows.is_quarantined(key, now)
 }
 
-fn warmth(age: Duration) -> u32 {
+fn speed_permille(age: Duration) -> u32 {
     if age >= WARM_UP {
         return FULL_WARMTH;
     }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -55,9 +55,9 @@
     }
 
     /// The deputy of a flow's bucket.
-    pub fn deputy(&self, key: &FlowKey) -> Option<TargetId> {
+    pub fn standby_owner(&self, key: &FlowKey) -> Option<TargetId> {
         let buckets = &self.own_service()?.buckets;
-        buckets.deputy(self.bucket(buckets, key)?)
+        buckets.standby_owner(self.bucket(buckets, key)?)
     }
 
     fn bucket(&self, buckets: &BucketTable, key: &FlowKey) -> Option<u32> {
--- a/crates/flow/src/admission.rs
+++ b/crates/flow/src/admission.rs
@@ -21,7 +21,7 @@
 
 /// Current load and limits of an agent's own back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnLoad {
+pub struct BackEndLoad {
     /// Flows that wait for a response, including newly admitted ones.
     pub in_flight: u32,
     /// Number of requests that the back end processes concurrently.
@@ -34,12 +34,12 @@
     pub accepts: bool,
     /// Current speed in permille of full speed. Below 1,000 while a freshly started back end warms
     /// up.
-    pub warmth: u32,
+    pub speed_permille: u32,
 }
 
-impl OwnLoad {
+impl BackEndLoad {
     /// Returns `true` if the target can accept one more flow.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.accepts && self.flows < self.connections
     }
 
@@ -48,7 +48,7 @@
     pub fn load_permille(&self) -> u32 {
         let busy = u64::from(self.in_flight) * FULL_LOAD / u64::from(self.slots.max(1));
         let held = u64::from(self.flows) * HELD_FLOWS_LOAD / u64::from(self.connections.max(1));
-        let load = (busy + held) * FULL_LOAD / u64::from(self.warmth.max(1));
+        let load = (busy + held) * FULL_LOAD / u64::from(self.speed_permille.max(1));
         load.min(u64::from(NO_CANDIDATE_LOAD - 1)) as u32
     }
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// All candidates are draining, stopping or at their connection limits.
-    NoRoom,
+    NoCapacity,
     /// The back end refused the connection.
     BackEndRefused,
     /// The back end did not accept the connection in time.
@@ -68,7 +68,7 @@
     /// Returns the name of the reason as used in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            RefusalReason::NoRoom => "no_room",
+            RefusalReason::NoCapacity => "no_room",
             RefusalReason::BackEndRefused => "back_end_refused",
             RefusalReason::BackEndTimeout => "back_end_timeout",
         }
@@ -132,9 +132,13 @@
 }
 
 /// Decides how to handle an opening packet that arrived with this delivery type.
-pub fn consider(delivery: Delivery, own: &OwnLoad, candidates: &Candidates<'_>) -> AdmissionStep {
+pub fn decide_admission(
+    delivery: Delivery,
+    own: &BackEndLoad,
+    candidates: &Candidates<'_>,
+) -> AdmissionStep {
     match delivery {
-        Delivery::Assigned if own.has_room() => AdmissionStep::Admit,
+        Delivery::Assigned if own.has_capacity() => AdmissionStep::Admit,
         Delivery::Offered(offer) => decide_offer(offer, own, candidates),
         // An assigned target may have lost its capacity in the meantime. The offer then restarts.
         Delivery::Assigned
@@ -148,14 +152,14 @@
     }
 }
 
-fn decide_offer(offer: Offer, own: &OwnLoad, candidates: &Candidates<'_>) -> AdmissionStep {
+fn decide_offer(offer: Offer, own: &BackEndLoad, candidates: &Candidates<'_>) -> AdmissionStep {
     let mut updated = offer;
-    if own.has_room() && own.load_permille() < offer.best_load {
+    if own.has_capacity() && own.load_permille() < offer.best_load {
         updated.best = candidates.own.0;
         updated.best_load = own.load_permille();
     }
     updated.visited = offer.visited.saturating_add(1);
-    let is_idle_best = updated.best == candidates.own.0 && own.has_room() && own.in_flight == 0;
+    let is_idle_best = updated.best == candidates.own.0 && own.has_capacity() && own.in_flight == 0;
     if is_idle_best {
         return AdmissionStep::Admit;
     }
@@ -163,7 +167,7 @@
         return AdmissionStep::PassOn { to, delivery: Delivery::Offered(updated) };
     }
     if updated.best_load == NO_CANDIDATE_LOAD {
-        return AdmissionStep::Refuse(RefusalReason::NoRoom);
+        return AdmissionStep::Refuse(RefusalReason::NoCapacity);
     }
     if updated.best == candidates.own.0 {
         return AdmissionStep::Admit;
--- a/crates/flow/src/expiring_set.rs
+++ b/crates/flow/src/expiring_set.rs
@@ -7,14 +7,14 @@
 /// Set with a time-to-live and a capacity. If the set is full, an insertion evicts the oldest
 /// member early.
 #[derive(Debug)]
-pub struct RecentSet<T> {
+pub struct ExpiringSet<T> {
     members: HashSet<T>,
     insertion_order: VecDeque<(Instant, T)>,
     lifetime: Duration,
     capacity: usize,
 }
 
-impl<T: Eq + Hash + Copy> RecentSet<T> {
+impl<T: Eq + Hash + Copy> ExpiringSet<T> {
     /// Creates an empty set that holds up to `capacity` members for `lifetime` each.
     pub fn new(lifetime: Duration, capacity: usize) -> Self {
         Self {
--- a/crates/flow/src/holder_directory.rs
+++ b/crates/flow/src/holder_directory.rs
@@ -51,15 +51,15 @@
 /// How to handle a packet whose flow this agent does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupStep {
-    /// Ask all other agents of the service. The packet is buffered if the limits allow.
-    Ask,
+    /// Query all other agents of the service. The packet is buffered if the limits allow.
+    Query,
     /// Answers are outstanding or the directory is full. The packet is buffered if the limits
     /// allow, and dropped otherwise.
     Wait,
     /// Forward the packet to these targets, one of which is expected to hold the flow.
     Forward(Vec<TargetId>),
     /// Forward the packet to these targets and query all other agents as well.
-    ForwardAndAsk(Vec<TargetId>),
+    ForwardAndQuery(Vec<TargetId>),
     /// No agent holds the flow.
     Absent,
 }
@@ -114,12 +114,12 @@
 
 /// One agent's records of the flows that other agents hold or claim.
 #[derive(Debug, Default)]
-pub struct Directory {
+pub struct HolderDirectory {
     entries: HashMap<FlowKey, Entry>,
     buffered_total: usize,
 }
 
-impl Directory {
+impl HolderDirectory {
     /// Decides how to handle a packet of a flow that this agent does not hold, and buffers the
     /// packet if the flow is not known to be open. `others` are the service's other targets at the
     /// agent's configuration revision.
@@ -137,7 +137,7 @@
 
     /// Buffers a packet that was delivered to this agent's own half-open flow, because another
     /// agent may still claim the flow.
-    pub fn hold_for_claimants(&mut self, key: &FlowKey, packet: &[u8], now: Instant) {
+    pub fn buffer_for_claimants(&mut self, key: &FlowKey, packet: &[u8], now: Instant) {
         if !self.is_full_for(key) {
             self.entries.entry(*key).or_insert_with(|| Entry::unclaimed(now, None));
             self.buffer(key, packet);
@@ -164,7 +164,7 @@
                     return LookupStep::Forward(claimants.clone());
                 }
                 *last_queried = now;
-                LookupStep::ForwardAndAsk(claimants.clone())
+                LookupStep::ForwardAndQuery(claimants.clone())
             }
             Some(Entry::Absent { expires_at }) if *expires_at > now => LookupStep::Absent,
             Some(Entry::Unclaimed { last_queried, denied_by, .. }) => {
@@ -179,7 +179,7 @@
                     return LookupStep::Wait;
                 }
                 *last_queried = Some(now);
-                LookupStep::Ask
+                LookupStep::Query
             }
             _ => self.start_query(key, now),
         }
@@ -190,7 +190,7 @@
             return LookupStep::Wait;
         }
         self.replace(key, Entry::unclaimed(now, Some(now)));
-        LookupStep::Ask
+        LookupStep::Query
     }
 
     /// Returns the target to which a retransmitted opening packet should be sent, if a target holds
@@ -208,13 +208,13 @@
     }
 
     /// Returns `true` if another target has claimed the flow or is recorded as its holder.
-    pub fn knows_claim(&self, key: &FlowKey) -> bool {
+    pub fn has_claim(&self, key: &FlowKey) -> bool {
         matches!(self.entries.get(key), Some(Entry::Claimed { .. } | Entry::KnownHolder { .. }))
     }
 
     /// Records a target's report on a flow, whether or not it was queried. Returns the buffered
     /// packets that should now be forwarded to that target.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         key: &FlowKey,
         from: TargetId,
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -11,9 +11,9 @@
 pub mod standby;
 pub mod table;
 
-pub use admission::{AdmissionStep, Candidates, OwnLoad, RefusalReason, consider};
-pub use expiring_set::RecentSet;
+pub use admission::{AdmissionStep, BackEndLoad, Candidates, RefusalReason, decide_admission};
+pub use expiring_set::ExpiringSet;
 pub use fence::{Fence, FenceError};
-pub use holder_directory::{Directory, LookupStep};
+pub use holder_directory::{HolderDirectory, LookupStep};
 pub use standby::{DuePacket, StandbyQueue};
 pub use table::{FlowPhase, FlowTable, FlowTableError};
--- a/crates/flow/src/standby.rs
+++ b/crates/flow/src/standby.rs
@@ -88,7 +88,7 @@
 
     /// Returns `true` if several consecutive packets of this owner were recently left unclaimed.
     /// Its packets should then be handled without waiting.
-    pub fn is_silent(&self, owner: TargetId, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, owner: TargetId, now: Instant) -> bool {
         self.missed_claims
             .get(&owner)
             .is_some_and(|missed| missed.unresponsive_until.is_some_and(|until| until > now))
--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -5,7 +5,7 @@
 
 use weirhinge_packet::FlowKey;
 
-use crate::expiring_set::RecentSet;
+use crate::expiring_set::ExpiringSet;
 
 /// Maximum number of quarantined keys: 30 s at 2,000 flows per second.
 const QUARANTINE_CAPACITY: usize = 60_000;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct FlowTable<H> {
     entries: HashMap<FlowKey, Entry<H>>,
-    quarantine: RecentSet<FlowKey>,
+    quarantine: ExpiringSet<FlowKey>,
     /// Insertion times and keys of half-open flows, oldest first. May contain stale entries of
     /// flows that have since opened or ended, which are skipped.
     half_open_by_age: VecDeque<(Instant, FlowKey)>,
@@ -71,7 +71,7 @@
     pub fn new(half_open_limit: usize, quarantine: Duration) -> Self {
         Self {
             entries: HashMap::new(),
-            quarantine: RecentSet::new(quarantine, QUARANTINE_CAPACITY),
+            quarantine: ExpiringSet::new(quarantine, QUARANTINE_CAPACITY),
             half_open_by_age: VecDeque::new(),
             half_open_count: 0,
             half_open_limit,
@@ -134,7 +134,7 @@
 
     /// Moves a flow to [`FlowPhase::Open`]. `hinted` is whether the client's packets carry the
     /// holder hint.
-    pub fn opened(&mut self, key: &FlowKey, hinted: bool) {
+    pub fn mark_open(&mut self, key: &FlowKey, hinted: bool) {
         if let Some(entry) = self.entries.get_mut(key)
             && entry.phase == FlowPhase::Opening
         {
--- a/crates/flow/tests/admission.rs
+++ b/crates/flow/tests/admission.rs
@@ -5,14 +5,21 @@
 
 use proptest::prelude::*;
 use weirhinge_config::TargetId;
-use weirhinge_flow::{AdmissionStep, Candidates, OwnLoad, consider};
+use weirhinge_flow::{AdmissionStep, BackEndLoad, Candidates, decide_admission};
 use weirhinge_wire::Delivery;
 
 /// Chains that take this many steps are reported as endless. Above the longest allowed chain.
 const STEP_LIMIT: usize = 16;
 
-fn load(in_flight: u32, accepts: bool) -> OwnLoad {
-    OwnLoad { in_flight, slots: 7, flows: in_flight, connections: 2_000, accepts, warmth: 1_000 }
+fn load(in_flight: u32, accepts: bool) -> BackEndLoad {
+    BackEndLoad {
+        in_flight,
+        slots: 7,
+        flows: in_flight,
+        connections: 2_000,
+        accepts,
+        speed_permille: 1_000,
+    }
 }
 
 #[derive(Debug, PartialEq, Eq)]
@@ -29,7 +36,7 @@
 
 /// Runs a chain that starts at the agent of `first`. All agents have the same active targets.
 fn run_chain(
-    loads: &BTreeMap<TargetId, OwnLoad>,
+    loads: &BTreeMap<TargetId, BackEndLoad>,
     active: &[TargetId],
     first: TargetId,
     owner: TargetId,
@@ -42,7 +49,7 @@
     for _ in 0..STEP_LIMIT {
         visited.push(current);
         let candidates = Candidates { own: current, owner: Some(owner), active, flow_hash, limit };
-        match consider(delivery, &loads[&current], &candidates) {
+        match decide_admission(delivery, &loads[&current], &candidates) {
             AdmissionStep::Admit => return Chain { outcome: Outcome::Admitted(current), visited },
             AdmissionStep::Refuse(_) => return Chain { outcome: Outcome::Refused, visited },
             AdmissionStep::PassOn { to, delivery: next } => {
@@ -64,7 +71,7 @@
         owner in any::<prop::sample::Index>(),
         limit in 1_u8..8,
     ) {
-        let loads: BTreeMap<TargetId, OwnLoad> = agents
+        let loads: BTreeMap<TargetId, BackEndLoad> = agents
             .iter()
             .enumerate()
             .map(|(id, &(in_flight, accepts))| (TargetId(id as u16), load(in_flight, accepts)))
@@ -72,12 +79,12 @@
         let active: Vec<TargetId> = loads.keys().copied().collect();
         let owner = active[owner.index(active.len())];
         let chain = run_chain(&loads, &active, owner, owner, flow_hash, limit);
-        let any_capacity = loads.values().any(OwnLoad::has_room);
+        let any_capacity = loads.values().any(BackEndLoad::has_capacity);
         match chain.outcome {
             Outcome::Admitted(target) => {
-                prop_assert!(loads[&target].has_room());
+                prop_assert!(loads[&target].has_capacity());
                 let best = chain.visited.iter().map(|target| &loads[target])
-                    .filter(|load| load.has_room()).map(OwnLoad::load_permille).min();
+                    .filter(|load| load.has_capacity()).map(BackEndLoad::load_permille).min();
                 prop_assert_eq!(Some(loads[&target].load_permille()), best);
             }
             Outcome::Refused => prop_assert!(
@@ -99,7 +106,7 @@
         flow_hash in any::<u64>(),
     ) {
         let removed = TargetId(100);
-        let mut loads: BTreeMap<TargetId, OwnLoad> = in_flight_counts
+        let mut loads: BTreeMap<TargetId, BackEndLoad> = in_flight_counts
             .iter()
             .enumerate()
             .map(|(id, &in_flight)| (TargetId(id as u16), load(in_flight, true)))
@@ -113,7 +120,7 @@
 
 #[test]
 fn retransmission_visits_same_targets() {
-    let loads: BTreeMap<TargetId, OwnLoad> =
+    let loads: BTreeMap<TargetId, BackEndLoad> =
         (0..7).map(|id| (TargetId(id), load(3, true))).collect();
     let active: Vec<TargetId> = loads.keys().copied().collect();
     let first = run_chain(&loads, &active, TargetId(2), TargetId(2), 0xDEAD_BEEF_0000_0001, 3);
@@ -134,7 +141,7 @@
         flow_hash: 7,
         limit: 3,
     };
-    let step = consider(Delivery::Assigned, &load(0, false), &candidates);
+    let step = decide_admission(Delivery::Assigned, &load(0, false), &candidates);
     assert!(
         matches!(step, AdmissionStep::PassOn { delivery: Delivery::Offered(_), .. }),
         "{step:?}"
@@ -144,14 +151,14 @@
 #[test]
 fn load_is_scaled_up_during_warm_up() {
     let full_speed = load(2, true);
-    let warming_up = OwnLoad { warmth: 100, ..full_speed };
+    let warming_up = BackEndLoad { speed_permille: 100, ..full_speed };
     assert_eq!(warming_up.load_permille(), 10 * full_speed.load_permille());
 }
 
 #[test]
 fn idle_flows_add_less_load_than_one_request() {
     let no_flows = load(0, true);
-    let idle_flows = OwnLoad { flows: 1_000, ..no_flows };
+    let idle_flows = BackEndLoad { flows: 1_000, ..no_flows };
     assert!(idle_flows.load_permille() > no_flows.load_permille());
     assert!(idle_flows.load_permille() < load(1, true).load_permille());
 }
--- a/crates/flow/tests/state.rs
+++ b/crates/flow/tests/state.rs
@@ -5,7 +5,7 @@
 use weirhinge_config::{ServiceId, TargetId};
 use weirhinge_flow::table::FlowTableError;
 use weirhinge_flow::{
-    Directory, Fence, FenceError, FlowTable, LookupStep, RecentSet, StandbyQueue,
+    ExpiringSet, Fence, FenceError, FlowTable, HolderDirectory, LookupStep, StandbyQueue,
 };
 use weirhinge_packet::{FlowKey, Protocol};
 use weirhinge_wire::{Delivery, Holding, PacketEnvelope};
@@ -48,7 +48,7 @@
     for port in 1..=3 {
         table.insert(key(port), port, start).expect("flow is inserted");
     }
-    table.opened(&key(1), false);
+    table.mark_open(&key(1), false);
     table.insert(key(4), 4, start).expect("open flows do not count towards the half-open limit");
     assert_eq!(table.insert(key(5), 5, start), Err(FlowTableError::HalfOpenLimit));
     let later = start + Duration::from_secs(3);
@@ -73,62 +73,62 @@
 
 #[test]
 fn missing_answer_does_not_mean_absent() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let start = Instant::now();
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", start), LookupStep::Ask);
-    directory.answered(&key(1), TargetId(2), Holding::Not, start);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", start), LookupStep::Query);
+    directory.record_answer(&key(1), TargetId(2), Holding::Not, start);
     for seconds in 1..20 {
         let now = start + Duration::from_secs(seconds);
         let step = directory.locate(&key(1), &OTHERS, b"a", now);
-        assert_eq!(step, LookupStep::Ask, "target 3 has not answered yet");
+        assert_eq!(step, LookupStep::Query, "target 3 has not answered yet");
     }
-    directory.answered(&key(1), TargetId(3), Holding::Not, start);
+    directory.record_answer(&key(1), TargetId(3), Holding::Not, start);
     let now = start + Duration::from_secs(20);
     assert_eq!(directory.locate(&key(1), &OTHERS, b"a", now), LookupStep::Absent);
 }
 
 #[test]
 fn buffered_packets_are_released_to_holder() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"one", now), LookupStep::Ask);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"one", now), LookupStep::Query);
     assert_eq!(directory.locate(&key(1), &OTHERS, b"two", now), LookupStep::Wait);
-    let released = directory.answered(&key(1), TargetId(3), Holding::Open, now);
+    let released = directory.record_answer(&key(1), TargetId(3), Holding::Open, now);
     assert_eq!(released, [b"one".to_vec(), b"two".to_vec()]);
     let step = directory.locate(&key(1), &OTHERS, b"three", now);
     assert_eq!(step, LookupStep::Forward(vec![TargetId(3)]));
-    assert!(directory.answered(&key(1), TargetId(3), Holding::Open, now).is_empty());
+    assert!(directory.record_answer(&key(1), TargetId(3), Holding::Open, now).is_empty());
 }
 
 #[test]
 fn denial_by_holder_restarts_query() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    directory.answered(&key(1), TargetId(3), Holding::Open, now);
+    directory.record_answer(&key(1), TargetId(3), Holding::Open, now);
     assert_eq!(
         directory.locate(&key(1), &OTHERS, b"a", now),
         LookupStep::Forward(vec![TargetId(3)])
     );
-    directory.answered(&key(1), TargetId(2), Holding::Not, now);
+    directory.record_answer(&key(1), TargetId(2), Holding::Not, now);
     assert_eq!(
         directory.locate(&key(1), &OTHERS, b"a", now),
         LookupStep::Forward(vec![TargetId(3)])
     );
-    directory.answered(&key(1), TargetId(3), Holding::Not, now);
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", now), LookupStep::Ask);
+    directory.record_answer(&key(1), TargetId(3), Holding::Not, now);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"a", now), LookupStep::Query);
 }
 
 #[test]
 fn holder_removed_from_configuration_is_ignored() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    directory.answered(&key(1), TargetId(3), Holding::Open, now);
-    assert_eq!(directory.locate(&key(1), &[TargetId(2)], b"a", now), LookupStep::Ask);
+    directory.record_answer(&key(1), TargetId(3), Holding::Open, now);
+    assert_eq!(directory.locate(&key(1), &[TargetId(2)], b"a", now), LookupStep::Query);
 }
 
 #[test]
 fn directory_is_bounded_and_entries_expire() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
     for port in 0..40_000 {
         directory.locate(&key(port), &OTHERS, &[0; 100], now);
@@ -136,13 +136,13 @@
     assert!(directory.len() <= 16_384);
     directory.expire(now + Duration::from_secs(60));
     assert!(directory.is_empty());
-    assert_eq!(directory.locate(&key(1), &OTHERS, b"buffered again", now), LookupStep::Ask);
-    assert_eq!(directory.answered(&key(1), TargetId(2), Holding::Open, now).len(), 1);
+    assert_eq!(directory.locate(&key(1), &OTHERS, b"buffered again", now), LookupStep::Query);
+    assert_eq!(directory.record_answer(&key(1), TargetId(2), Holding::Open, now).len(), 1);
 }
 
 #[test]
 fn expiring_set_is_bounded_by_lifetime_and_capacity() {
-    let mut set = RecentSet::new(Duration::from_secs(1), 2);
+    let mut set = ExpiringSet::new(Duration::from_secs(1), 2);
     let now = Instant::now();
     assert!(set.insert(1, now));
     assert!(!set.insert(1, now));
@@ -179,19 +179,19 @@
     let owner = TargetId(2);
     let mut now = Instant::now();
     for port in 0..3 {
-        assert!(!queue.is_silent(owner, now));
+        assert!(!queue.is_unresponsive(owner, now));
         queue.push(key(port), owner, b"opening", now);
         queue.push(key(port), owner, b"retransmission", now);
         now = queue.next_due().expect("a packet is queued");
         assert!(queue.take_due(now, |_| false).is_some());
         assert!(queue.take_due(now, |_| false).is_none(), "a retransmission is not queued again");
     }
-    assert!(queue.is_silent(owner, now));
-    assert!(!queue.is_silent(TargetId(3), now));
+    assert!(queue.is_unresponsive(owner, now));
+    assert!(!queue.is_unresponsive(TargetId(3), now));
     queue.push(key(9), owner, b"opening", now);
     now = queue.next_due().expect("a packet is queued");
     assert!(queue.take_due(now, |_| true).is_none(), "a claimed packet is not returned");
-    assert!(!queue.is_silent(owner, now));
+    assert!(!queue.is_unresponsive(owner, now));
 }
 
 #[test]
@@ -213,20 +213,20 @@
 /// the client did not choose, while the flow is open at another agent.
 #[test]
 fn other_agents_are_queried_about_old_claim() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let start = Instant::now();
-    directory.answered(&key(1), TargetId(2), Holding::Opening, start);
+    directory.record_answer(&key(1), TargetId(2), Holding::Opening, start);
     let forward = LookupStep::Forward(vec![TargetId(2)]);
     assert_eq!(directory.locate(&key(1), &OTHERS, b"a", start), forward);
     let later = start + Duration::from_secs(1);
-    let forward_and_query = LookupStep::ForwardAndAsk(vec![TargetId(2)]);
+    let forward_and_query = LookupStep::ForwardAndQuery(vec![TargetId(2)]);
     assert_eq!(directory.locate(&key(1), &OTHERS, b"a", later), forward_and_query);
     assert_eq!(
         directory.locate(&key(1), &OTHERS, b"a", later),
         forward,
         "the query was sent just now"
     );
-    directory.answered(&key(1), TargetId(3), Holding::Open, later);
+    directory.record_answer(&key(1), TargetId(3), Holding::Open, later);
     let step = directory.locate(&key(1), &OTHERS, b"a", later);
     assert_eq!(step, LookupStep::Forward(vec![TargetId(3)]));
 }
@@ -236,61 +236,61 @@
 /// the other agent gets that request, and the client has to retransmit it.
 #[test]
 fn buffered_packets_are_released_to_each_later_claimant() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    directory.answered(&key(1), TargetId(2), Holding::Opening, now);
+    directory.record_answer(&key(1), TargetId(2), Holding::Opening, now);
     let step = directory.locate(&key(1), &OTHERS, b"request", now);
     assert_eq!(step, LookupStep::Forward(vec![TargetId(2)]));
-    let released = directory.answered(&key(1), TargetId(3), Holding::Opening, now);
+    let released = directory.record_answer(&key(1), TargetId(3), Holding::Opening, now);
     assert_eq!(released, [b"request".to_vec()]);
     assert!(
-        directory.answered(&key(1), TargetId(3), Holding::Opening, now).is_empty(),
+        directory.record_answer(&key(1), TargetId(3), Holding::Opening, now).is_empty(),
         "released once"
     );
     assert!(
-        directory.answered(&key(1), TargetId(3), Holding::Open, now).is_empty(),
+        directory.record_answer(&key(1), TargetId(3), Holding::Open, now).is_empty(),
         "a claimant has already received the packet"
     );
 }
 
 #[test]
 fn buffered_packets_are_released_to_holder_without_claim() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    directory.answered(&key(1), TargetId(2), Holding::Opening, now);
+    directory.record_answer(&key(1), TargetId(2), Holding::Opening, now);
     directory.locate(&key(1), &OTHERS, b"request", now);
-    let released = directory.answered(&key(1), TargetId(3), Holding::Open, now);
+    let released = directory.record_answer(&key(1), TargetId(3), Holding::Open, now);
     assert_eq!(released, [b"request".to_vec()]);
 }
 
 /// The packet was delivered to this agent's own half-open flow, and another agent claims the flow.
 #[test]
 fn packets_of_own_half_open_flow_are_buffered_until_forgotten() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let now = Instant::now();
-    directory.hold_for_claimants(&key(1), b"request", now);
-    let released = directory.answered(&key(1), TargetId(3), Holding::Opening, now);
+    directory.buffer_for_claimants(&key(1), b"request", now);
+    let released = directory.record_answer(&key(1), TargetId(3), Holding::Opening, now);
     assert_eq!(released, [b"request".to_vec()]);
-    directory.hold_for_claimants(&key(2), b"request", now);
+    directory.buffer_for_claimants(&key(2), b"request", now);
     directory.forget(&key(2));
-    assert!(directory.answered(&key(2), TargetId(3), Holding::Opening, now).is_empty());
+    assert!(directory.record_answer(&key(2), TargetId(3), Holding::Opening, now).is_empty());
 }
 
 /// Guards against a leak: if packets of expired flows still counted towards the total limit, no
 /// further packets could be buffered.
 #[test]
 fn expired_packets_free_buffer_capacity() {
-    let mut directory = Directory::default();
+    let mut directory = HolderDirectory::default();
     let start = Instant::now();
     for round in 0..4 {
         let now = start + Duration::from_secs(60 * round);
         for port in 0..2_000 {
-            directory.hold_for_claimants(&key(port), b"request", now);
-            directory.answered(&key(port), TargetId(2), Holding::Opening, now);
+            directory.buffer_for_claimants(&key(port), b"request", now);
+            directory.record_answer(&key(port), TargetId(2), Holding::Opening, now);
         }
         directory.expire(now + Duration::from_secs(40));
         assert!(directory.is_empty());
     }
-    directory.hold_for_claimants(&key(1), b"request", start);
-    assert_eq!(directory.answered(&key(1), TargetId(2), Holding::Open, start).len(), 1);
+    directory.buffer_for_claimants(&key(1), b"request", start);
+    assert_eq!(directory.record_answer(&key(1), TargetId(2), Holding::Open, start).len(), 1);
 }
--- a/crates/rehearsal/src/simulate.rs
+++ b/crates/rehearsal/src/simulate.rs
@@ -11,7 +11,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use weirhinge_config::TargetId;
-use weirhinge_flow::{AdmissionStep, Candidates, OwnLoad, consider};
+use weirhinge_flow::{AdmissionStep, BackEndLoad, Candidates, decide_admission};
 use weirhinge_wire::Delivery;
 
 use crate::sampler::percentile;
@@ -242,13 +242,13 @@
         let mut hops = 0;
         loop {
             let server = &self.servers[usize::from(at.0)];
-            let load = OwnLoad {
+            let load = BackEndLoad {
                 in_flight: server.in_flight,
                 slots: self.simulation.slots,
                 flows: server.in_flight,
                 connections: u32::MAX,
                 accepts: true,
-                warmth: 1_000,
+                speed_permille: 1_000,
             };
             let candidates = Candidates {
                 own: at,
@@ -257,7 +257,7 @@
                 flow_hash,
                 limit,
             };
-            match consider(delivery, &load, &candidates) {
+            match decide_admission(delivery, &load, &candidates) {
                 AdmissionStep::PassOn { to, delivery: next } => {
                     (at, delivery) = (to, next);
                     hops += 1;
--- a/crates/routing/src/bucket.rs
+++ b/crates/routing/src/bucket.rs
@@ -39,9 +39,9 @@
         let mut owners = Vec::with_capacity(size);
         let mut standby_owners = Vec::new();
         for bucket in 0..size as u64 {
-            let (owner, deputy) = highest_scoring_targets(service_seed, bucket, targets);
+            let (owner, standby_owner) = highest_scoring_targets(service_seed, bucket, targets);
             owners.push(owner);
-            standby_owners.extend(deputy);
+            standby_owners.extend(standby_owner);
         }
         Self { owners, standby_owners }
     }
@@ -68,7 +68,7 @@
     }
 
     /// Returns the standby owner of a bucket, or `None` if the service has a single target.
-    pub fn deputy(&self, bucket: u32) -> Option<TargetId> {
+    pub fn standby_owner(&self, bucket: u32) -> Option<TargetId> {
         self.standby_owners.get(bucket as usize).copied()
     }
 
@@ -86,18 +86,18 @@
 ) -> (TargetId, Option<TargetId>) {
     let bucket_seed = mix(service_seed, bucket);
     let mut owner = Candidate::LOWEST;
-    let mut deputy = Candidate::LOWEST;
+    let mut standby_owner = Candidate::LOWEST;
     for &(target, weight) in targets {
         let score = score(mix(bucket_seed, u64::from(target.0) + 1), weight);
         let candidate = Candidate { score, target };
         if candidate.outranks(&owner) {
-            deputy = owner;
+            standby_owner = owner;
             owner = candidate;
-        } else if candidate.outranks(&deputy) {
-            deputy = candidate;
+        } else if candidate.outranks(&standby_owner) {
+            standby_owner = candidate;
         }
     }
-    (owner.target, (targets.len() > 1).then_some(deputy.target))
+    (owner.target, (targets.len() > 1).then_some(standby_owner.target))
 }
 
 #[derive(Clone, Copy)]
--- a/crates/routing/src/hint.rs
+++ b/crates/routing/src/hint.rs
@@ -9,7 +9,7 @@
 //! Clients without timestamps still acknowledge the agent's sequence numbers. The high bits of the
 //! initial sequence number identify the target, masked with the flow's keyed hash, so that an
 //! off-path attacker can guess them no better than random numbers. The hint remains valid for at
-//! least the first [`NAMED_BYTES`] bytes that the agent sends on a flow.
+//! least the first [`HINT_VALID_BYTES`] bytes that the agent sends on a flow.
 
 use weirhinge_config::TargetId;
 
@@ -23,7 +23,7 @@
 /// Number of low bits of a sequence number, below the target bits, that count bytes.
 const BYTE_COUNT_BITS: u32 = u32::BITS - TARGET_BITS;
 /// Bytes that an agent can send on a flow before its sequence numbers identify another target.
-pub const NAMED_BYTES: u32 = 1 << (BYTE_COUNT_BITS - 1);
+pub const HINT_VALID_BYTES: u32 = 1 << (BYTE_COUNT_BITS - 1);
 /// Domain separator between the sequence number mask and other uses of a flow's hash.
 const SEQUENCE_DOMAIN: u64 = 0x5e9e;
 
@@ -42,7 +42,7 @@
     /// cryptographically secure source.
     pub fn initial_sequence(self, flow_hash: u64, random: u32) -> u32 {
         let masked_target = (u32::from(self.0.0) & TARGET_MASK) ^ sequence_mask(flow_hash);
-        (masked_target << BYTE_COUNT_BITS) | (random % NAMED_BYTES)
+        (masked_target << BYTE_COUNT_BITS) | (random % HINT_VALID_BYTES)
     }
 
     /// Extracts the hint from an acknowledgment number sent by the flow's client.
@@ -52,7 +52,7 @@
     }
 
     /// Extracts the hint from an echoed timestamp.
-    pub fn from_echo(echo: u32) -> Self {
+    pub fn from_timestamp_echo(echo: u32) -> Self {
         Self(TargetId((echo & TARGET_MASK) as u16))
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -10,5 +10,5 @@
 
 pub use bucket::{BUCKETS_PER_TARGET, BucketTable};
 pub use hash::FlowHasher;
-pub use hint::{HolderHint, NAMED_BYTES};
+pub use hint::{HINT_VALID_BYTES, HolderHint};
 pub use table::{Route, RouteBasis, RouteError, RoutingTable, ServiceRoute, Standby, TargetRoute};
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -206,13 +206,13 @@
         if !packet.tcp()?.opens_flow() {
             return None;
         }
-        let target = service.buckets.deputy(bucket)?;
+        let target = service.buckets.standby_owner(bucket)?;
         Some(Standby { target, agent: self.target(target)?.agent })
     }
 
     fn route_by_timestamp(&self, service: &ServiceRoute, packet: &PacketView<'_>) -> Option<Route> {
         let segment = packet.tcp().filter(|segment| !segment.opens_flow())?;
-        self.route_by_hint(service, HolderHint::from_echo(segment.timestamp_echo?))
+        self.route_by_hint(service, HolderHint::from_timestamp_echo(segment.timestamp_echo?))
     }
 
     /// Routes a packet without timestamps by the holder's sequence number that it acknowledges.
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -56,14 +56,14 @@
     let before = BucketTable::build(SEED, &equally_weighted(0..7), 7);
     let after = BucketTable::build(SEED, &equally_weighted((0..7).filter(|&id| id != 3)), 7);
     for bucket in 0..before.len() as u32 {
-        let deputy = before.deputy(bucket).expect("standby owner");
-        assert_ne!(before.owner(bucket), Some(deputy));
+        let standby_owner = before.standby_owner(bucket).expect("standby owner");
+        assert_ne!(before.owner(bucket), Some(standby_owner));
         if before.owner(bucket) == Some(TargetId(3)) {
-            assert_eq!(after.owner(bucket), Some(deputy));
+            assert_eq!(after.owner(bucket), Some(standby_owner));
         }
     }
     let single = BucketTable::build(SEED, &equally_weighted(0..1), 1);
-    assert_eq!((single.owner(0), single.deputy(0)), (Some(TargetId(0)), None));
+    assert_eq!((single.owner(0), single.standby_owner(0)), (Some(TargetId(0)), None));
 }
 
 #[test]
@@ -184,6 +184,6 @@
     for hours in 1..72 {
         let later = hint.timestamp(start + hours * 3_600);
         assert!((later.wrapping_sub(first) as i32) > 0, "after {hours} h");
-        assert_eq!(HolderHint::from_echo(later), hint);
+        assert_eq!(HolderHint::from_timestamp_echo(later), hint);
     }
 }
--- a/crates/routing/tests/sequence_hint.rs
+++ b/crates/routing/tests/sequence_hint.rs
@@ -7,7 +7,7 @@
 use support::{service, target};
 use weirhinge_config::{ConfigDocument, HashKey, TargetId, TargetState};
 use weirhinge_packet::decode_packet;
-use weirhinge_routing::{HolderHint, NAMED_BYTES, RouteBasis, RoutingTable};
+use weirhinge_routing::{HINT_VALID_BYTES, HolderHint, RouteBasis, RoutingTable};
 
 const KEY: HashKey = HashKey([9; 16]);
 const TARGETS: u16 = 4;
@@ -72,7 +72,7 @@
         target in 0_u16..8_192,
         flow_hash: u64,
         random: u32,
-        sent in 0..NAMED_BYTES,
+        sent in 0..HINT_VALID_BYTES,
     ) {
         let hint = HolderHint(TargetId(target));
         let acknowledged = hint.initial_sequence(flow_hash, random).wrapping_add(sent);
