--- a/crates/flow/src/holder_directory.rs
+++ b/crates/flow/src/holder_directory.rs
@@ -42,7 +42,7 @@
 /// Maximum number of entries. Packets of further flows are dropped.
 const CAPACITY: usize = 16_384;
 /// Maximum number of claimants recorded per flow.
-const CLAIMS_PER_FLOW: usize = 4;
+const MAX_CLAIMANTS_PER_FLOW: usize = 4;
 /// Maximum number of packets buffered per flow. Further packets are not buffered.
 const MAX_BUFFERED_PER_FLOW: usize = 4;
 /// Maximum number of packets buffered for all flows together.
@@ -245,7 +245,7 @@
             // A report that the flow is open takes precedence over any number of claims.
             Some(Entry::KnownHolder { expires_at, .. }) if *expires_at > now => Vec::new(),
             Some(Entry::Claimed { claimants, buffered, .. }) => {
-                if claimants.contains(&from) || claimants.len() >= CLAIMS_PER_FLOW {
+                if claimants.contains(&from) || claimants.len() >= MAX_CLAIMANTS_PER_FLOW {
                     return Vec::new();
                 }
                 claimants.push(from);
--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -98,7 +98,8 @@
         Ok(())
     }
 
-    /// Returns the insertion time and the key of the oldest half-open flow.
+    /// Returns the insertion time and the key of the oldest half-open flow, after removing stale
+    /// entries ahead of it.
     fn oldest_half_open(&mut self) -> Option<(Instant, FlowKey)> {
         while let Some(&(inserted_at, key)) = self.half_open_by_age.front() {
             let entry = self.entries.get(&key);
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -129,7 +129,7 @@
             let targets = members.remove(&service.id).unwrap_or_default();
             let inputs = BucketInputs::of(&targets);
             let route = match previous.get(&service.id) {
-                Some(&unchanged) if inputs.match_route(unchanged) => unchanged.clone(),
+                Some(&previous_route) if inputs.matches(previous_route) => previous_route.clone(),
                 _ => Arc::new(service_route(service.id, inputs)),
             };
             services.push(route);
@@ -269,7 +269,7 @@
         Self { weighted, members }
     }
 
-    fn match_route(&self, route: &ServiceRoute) -> bool {
+    fn matches(&self, route: &ServiceRoute) -> bool {
         let weighted = route.active.iter().copied().zip(route.weights.iter().copied());
         self.members == route.members && weighted.eq(self.weighted.iter().copied())
     }
