--- a/crates/steering/src/agent/decision.rs
+++ b/crates/steering/src/agent/decision.rs
@@ -1,4 +1,4 @@
-//! What an agent decides about packets, and why.
+//! Decisions of an agent about packets, with their reasons.
 
 use std::net::Ipv4Addr;
 
@@ -7,63 +7,63 @@
 use crate::packet::FlowKey;
 use crate::waiting_room::WaitedOpening;
 
-/// What to do with a packet that waited.
+/// What to do with an opening packet that waited for capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// Hand it to the target under this label.
+    /// Deliver it to the target with this echo label.
     Deliver(WaitedOpening, u32),
-    /// Send it back to its balancer.
+    /// Return it to its balancer.
     Return(WaitedOpening, ReturnReason),
 }
 
-/// What to do with a packet for the target.
+/// What to do with a client's packet for the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeliveryDecision {
-    /// Hand it to the target under this label.
+    /// Deliver it to the target with this echo label.
     Deliver {
-        /// The label, which a bounced packet brings back.
+        /// Echo label, which the packet carries back if the target bounces it.
         echo: u32,
-        /// What to tell the balancer at once, if it searches for a flow that the
-        /// target is known to hold.
+        /// Notice to send to the balancer immediately, if it searches for a flow that the target is
+        /// known to hold.
         notice: Option<HoldsNotice>,
     },
-    /// Send it back to the balancer.
+    /// Return it to the balancer.
     Return(ReturnReason),
-    /// It waits here until the target has room.
+    /// Queue it at the agent until the target has capacity.
     Wait {
-        /// The opening packet that made room for it and goes back to its balancer.
+        /// The waiting packet that was evicted to make space, to be returned to its balancer.
         displaced: Option<Box<WaitedOpening>>,
     },
-    /// A copy of it waits here already.
+    /// Do nothing: a copy of it is already queued.
     WaitsAlready,
 }
 
-/// A packet that asks a target which started again whether it holds a flow.
+/// A packet that checks whether a restarted target still holds a flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestartCheck {
     /// The flow.
     pub flow: FlowKey,
-    /// The latest packet of its client, to be handed to the target once more.
+    /// The client's latest packet, to be delivered to the target again.
     pub packet: Vec<u8>,
-    /// The label to hand it over under.
+    /// Echo label to deliver it with.
     pub echo: u32,
 }
 
-/// Tells a balancer that the target holds a flow.
+/// Informs a balancer that the target holds a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldsNotice {
     /// The balancer that sent the flow's latest packet.
     pub balancer: Ipv4Addr,
     /// The flow.
     pub flow: FlowKey,
-    /// Whether the target sent more than an answer to an opening packet.
+    /// Whether the target sent anything beyond its answer to the opening packet.
     pub confirmed: bool,
 }
 
 /// Why a packet of the target was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputDrop {
-    /// A bounced packet whose delivery is not remembered.
+    /// A bounced packet whose delivery is no longer recorded.
     UnknownDelivery,
 }
 
@@ -72,26 +72,26 @@
 pub enum OutputDecision {
     /// Send it to the client.
     ToClient {
-        /// What to tell a balancer.
+        /// Notice to send to a balancer.
         notice: Option<HoldsNotice>,
     },
-    /// Send it back to the balancer that it came from.
+    /// Return it to the balancer that it came from.
     Return {
         /// The balancer.
         balancer: Ipv4Addr,
         /// Whether the packet came with a grant of this agent.
         granted: bool,
     },
-    /// Send it on to the next agent whose target may hold its flow.
+    /// Forward it to the next agent on its search path.
     PassOn {
         /// The agent.
         agent: Ipv4Addr,
-        /// The rest of the packet's way.
+        /// The remaining search path.
         path: SearchPath,
     },
-    /// Reset the client's flow: the target has lost it.
+    /// Reset the client's flow, which the target has lost.
     Reset {
-        /// Sequence number of the reset.
+        /// Sequence number for the reset.
         sequence: u32,
     },
     /// Do nothing.
--- a/crates/steering/src/agent/demand.rs
+++ b/crates/steering/src/agent/demand.rs
@@ -1,4 +1,4 @@
-//! Which balancers asked an agent for room, and who of them goes first.
+//! The balancers that request capacity from an agent, and the order in which they get it.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -7,222 +7,242 @@
 
 use crate::class_share::{OTHERS_ONE_IN, others_are_due};
 
-/// Most balancers whose demand is kept, above the number of a large fleet.
+/// Most balancers whose demand is stored; exceeds the number in a large fleet.
 const CAPACITY: usize = 512;
-/// What a balancer said counts for this long; it asks again sooner while openings wait.
+/// Lifetime of a balancer's demand. Balancers repeat it more often while openings wait.
 const DEMAND_LIFETIME_MS: Millis = 300;
-/// Grants left unanswered in a row after which a balancer's demand is dropped.
-const MOST_LAPSES: u32 = 2;
+/// Consecutive lapsed grants after which a balancer's demand is dropped.
+const LAPSE_THRESHOLD: u32 = 2;
 
-/// The two classes of openings.
+/// Priority class of an opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Class {
-    /// Openings of urgent routes.
+    /// Opening of an urgent route.
     Urgent,
-    /// All others.
-    Others,
+    /// Any other opening.
+    NonUrgent,
 }
 
 impl Class {
-    /// The class of an opening.
+    /// Returns the class of an opening.
     pub(super) fn of(urgent: bool) -> Self {
-        if urgent { Self::Urgent } else { Self::Others }
+        if urgent { Self::Urgent } else { Self::NonUrgent }
     }
 }
 
-/// Which classes the target has room for. Room for others is room for urgent ones too.
+/// The classes for which the target has capacity. Capacity for non-urgent openings also serves
+/// urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Room {
+pub(super) struct AvailableCapacity {
     pub(super) urgent: bool,
-    pub(super) others: bool,
+    pub(super) non_urgent: bool,
 }
 
-impl Room {
-    /// Whether there is room for an opening of this class.
-    pub(super) fn has(self, urgent: bool) -> bool {
-        if urgent { self.urgent } else { self.others }
+impl AvailableCapacity {
+    /// Whether there is capacity for an opening of this class.
+    pub(super) fn allows(self, urgent: bool) -> bool {
+        if urgent { self.urgent } else { self.non_urgent }
     }
 }
 
-/// What a balancer said last, and what it was granted since.
+/// A balancer's latest demand, and the grants it got since.
 #[derive(Clone, Copy, Debug)]
-struct Asker {
+struct BalancerDemand {
     demand: OpeningDemand,
-    heard_at: Millis,
-    /// Unanswered grants that were meant for urgent openings.
-    granted_urgent: u16,
-    /// Unanswered grants that were meant for others.
-    granted_others: u16,
-    /// Grants in a row that it did not answer in time.
+    received_at: Millis,
+    /// Outstanding grants issued for urgent openings.
+    outstanding_urgent: u16,
+    /// Outstanding grants issued for non-urgent openings.
+    outstanding_non_urgent: u16,
+    /// Consecutive grants that lapsed.
     lapses: u32,
 }
 
-impl Asker {
-    fn granted(&mut self, class: Class) -> &mut u16 {
+impl BalancerDemand {
+    fn outstanding_mut(&mut self, class: Class) -> &mut u16 {
         match class {
-            Class::Urgent => &mut self.granted_urgent,
-            Class::Others => &mut self.granted_others,
+            Class::Urgent => &mut self.outstanding_urgent,
+            Class::NonUrgent => &mut self.outstanding_non_urgent,
         }
     }
 
-    fn of_class(&self, class: Class) -> (WaitingOpenings, u16) {
+    fn class_state(&self, class: Class) -> (WaitingOpenings, u16) {
         match class {
-            Class::Urgent => (self.demand.urgent, self.granted_urgent),
-            Class::Others => (self.demand.others, self.granted_others),
+            Class::Urgent => (self.demand.urgent, self.outstanding_urgent),
+            Class::NonUrgent => (self.demand.others, self.outstanding_non_urgent),
         }
     }
 
-    /// Openings that wait and have no grant yet.
-    fn left(&self, class: Class) -> u16 {
-        let (waiting, granted) = self.of_class(class);
-        waiting.count.saturating_sub(granted)
+    /// Number of waiting openings without a grant.
+    fn ungranted(&self, class: Class) -> u16 {
+        let (waiting, outstanding) = self.class_state(class);
+        waiting.count.saturating_sub(outstanding)
     }
 
-    /// For how long the first of these has waited. Behind those that have grants its age is
-    /// not known: arrivals are taken to be spread evenly.
-    fn waited(&self, class: Class, now: Millis) -> Option<Millis> {
-        let left = Some(self.left(class)).filter(|left| *left > 0)?;
-        let (waiting, _) = self.of_class(class);
+    /// How long the oldest opening without a grant has waited, assuming evenly spaced arrivals: the
+    /// balancer reports only the age of its oldest opening overall.
+    fn oldest_ungranted_ms(&self, class: Class, now: Millis) -> Option<Millis> {
+        let ungranted = Some(self.ungranted(class)).filter(|ungranted| *ungranted > 0)?;
+        let (waiting, _) = self.class_state(class);
         let age =
-            Millis::from(waiting.oldest_ms) * Millis::from(left) / Millis::from(waiting.count);
-        Some(age + now.saturating_sub(self.heard_at))
+            Millis::from(waiting.oldest_ms) * Millis::from(ungranted) / Millis::from(waiting.count);
+        Some(age + now.saturating_sub(self.received_at))
     }
 }
 
-/// The balancers that asked for room.
+/// Demand of all requesting balancers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DemandTable {
-    askers: BTreeMap<Ipv4Addr, Asker>,
-    /// Grants for urgent openings in a row, while others waited.
-    urgent_in_row: u32,
+    balancers: BTreeMap<Ipv4Addr, BalancerDemand>,
+    /// Consecutive grants for urgent openings while non-urgent ones waited.
+    consecutive_urgent: u32,
 }
 
 impl DemandTable {
-    /// Takes in what waits at a balancer. `granted` tells how many unanswered grants of a
-    /// class it has.
-    pub(super) fn heard(
+    /// Records a balancer's demand. `outstanding` returns the number of the balancer's outstanding
+    /// grants of a class.
+    pub(super) fn record_demand(
         &mut self,
         balancer: Ipv4Addr,
         demand: OpeningDemand,
-        granted: impl Fn(Class) -> u16,
+        outstanding: impl Fn(Class) -> u16,
         now: Millis,
     ) {
         if demand.is_empty() {
-            self.askers.remove(&balancer);
+            self.balancers.remove(&balancer);
             return;
         }
-        if !self.askers.contains_key(&balancer) && self.askers.len() >= CAPACITY {
-            self.forget_oldest();
+        if !self.balancers.contains_key(&balancer) && self.balancers.len() >= CAPACITY {
+            self.evict_oldest();
         }
-        let lapses = self.askers.get(&balancer).map_or(0, |asker| asker.lapses);
-        let (granted_urgent, granted_others) = (granted(Class::Urgent), granted(Class::Others));
-        let heard_at = now;
-        let asker = Asker { demand, heard_at, granted_urgent, granted_others, lapses };
-        self.askers.insert(balancer, asker);
+        let lapses = self.balancers.get(&balancer).map_or(0, |entry| entry.lapses);
+        let (outstanding_urgent, outstanding_non_urgent) =
+            (outstanding(Class::Urgent), outstanding(Class::NonUrgent));
+        let received_at = now;
+        let entry = BalancerDemand {
+            demand,
+            received_at,
+            outstanding_urgent,
+            outstanding_non_urgent,
+            lapses,
+        };
+        self.balancers.insert(balancer, entry);
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.askers.iter().min_by_key(|(_, asker)| asker.heard_at);
+    fn evict_oldest(&mut self) {
+        let oldest = self.balancers.iter().min_by_key(|(_, entry)| entry.received_at);
         if let Some(balancer) = oldest.map(|(balancer, _)| *balancer) {
-            self.askers.remove(&balancer);
+            self.balancers.remove(&balancer);
         }
     }
 
-    /// Forgets balancers that have been silent for long.
+    /// Drops demand that was not renewed within its lifetime.
     pub(super) fn expire(&mut self, now: Millis) {
-        self.askers.retain(|_, asker| now.saturating_sub(asker.heard_at) < DEMAND_LIFETIME_MS);
+        self.balancers
+            .retain(|_, entry| now.saturating_sub(entry.received_at) < DEMAND_LIFETIME_MS);
     }
 
-    /// Number of balancers known to ask.
+    /// Number of requesting balancers.
     pub(super) fn len(&self) -> usize {
-        self.askers.len()
+        self.balancers.len()
     }
 
-    /// Whether an opening of this class, or a more urgent one, waits without a grant.
-    pub(super) fn goes_before(&self, class: Class) -> bool {
-        self.has(Class::Urgent) || (class == Class::Others && self.has(Class::Others))
+    /// Whether an opening of this class or a more urgent one waits without a grant.
+    pub(super) fn has_waiting(&self, class: Class) -> bool {
+        self.has_ungranted(Class::Urgent)
+            || (class == Class::NonUrgent && self.has_ungranted(Class::NonUrgent))
     }
 
-    fn has(&self, class: Class) -> bool {
-        self.askers.values().any(|asker| asker.left(class) > 0)
+    fn has_ungranted(&self, class: Class) -> bool {
+        self.balancers.values().any(|entry| entry.ungranted(class) > 0)
     }
 
-    /// Whom to grant room to, and for which class. Others that are due by their least share
-    /// get any room: urgent openings may keep a target above what others are given.
-    pub(super) fn first(&self, room: Room, now: Millis) -> Option<(Ipv4Addr, Class)> {
-        let others_due = others_are_due(self.urgent_in_row);
-        let others = || self.longest(Class::Others, now);
-        if others_due
-            && room.urgent
-            && let Some(first) = others()
+    /// Returns the balancer that gets the next grant, and the class it is for. Non-urgent openings
+    /// whose minimum share is due may use capacity for urgent ones: urgent openings can keep the
+    /// load above the limit for non-urgent ones.
+    pub(super) fn next_recipient(
+        &self,
+        capacity: AvailableCapacity,
+        now: Millis,
+    ) -> Option<(Ipv4Addr, Class)> {
+        let non_urgent_due = others_are_due(self.consecutive_urgent);
+        let non_urgent = || self.longest_waiting(Class::NonUrgent, now);
+        if non_urgent_due
+            && capacity.urgent
+            && let Some(recipient) = non_urgent()
         {
-            return Some(first);
+            return Some(recipient);
         }
-        let urgent = room.urgent.then(|| self.longest(Class::Urgent, now)).flatten();
-        urgent.or_else(|| room.others.then(others).flatten())
+        let urgent = capacity.urgent.then(|| self.longest_waiting(Class::Urgent, now)).flatten();
+        urgent.or_else(|| capacity.non_urgent.then(non_urgent).flatten())
     }
 
-    /// The balancer whose first opening has waited longest; of several the lowest address.
-    fn longest(&self, class: Class, now: Millis) -> Option<(Ipv4Addr, Class)> {
-        let waits = |(balancer, asker): (&Ipv4Addr, &Asker)| {
-            asker.waited(class, now).map(|waited| (waited, std::cmp::Reverse(*balancer)))
+    /// Returns the balancer whose oldest ungranted opening has waited longest; the lowest address
+    /// wins a tie.
+    fn longest_waiting(&self, class: Class, now: Millis) -> Option<(Ipv4Addr, Class)> {
+        let waits = |(balancer, entry): (&Ipv4Addr, &BalancerDemand)| {
+            entry
+                .oldest_ungranted_ms(class, now)
+                .map(|waited_ms| (waited_ms, std::cmp::Reverse(*balancer)))
         };
-        let (_, balancer) = self.askers.iter().filter_map(waits).max()?;
+        let (_, balancer) = self.balancers.iter().filter_map(waits).max()?;
         Some((balancer.0, class))
     }
 
-    /// Notes a grant.
-    pub(super) fn granted(&mut self, balancer: Ipv4Addr, class: Class) {
-        self.urgent_in_row = match class {
-            Class::Urgent if self.has(Class::Others) => self.urgent_in_row.saturating_add(1),
+    /// Records a grant that was issued.
+    pub(super) fn record_grant(&mut self, balancer: Ipv4Addr, class: Class) {
+        self.consecutive_urgent = match class {
+            Class::Urgent if self.has_ungranted(Class::NonUrgent) => {
+                self.consecutive_urgent.saturating_add(1)
+            }
             _ => 0,
         };
-        if let Some(asker) = self.askers.get_mut(&balancer) {
-            *asker.granted(class) += 1;
+        if let Some(entry) = self.balancers.get_mut(&balancer) {
+            *entry.outstanding_mut(class) += 1;
         }
     }
 
-    /// Notes that a balancer used a grant, in time or late.
-    pub(super) fn answered(&mut self, balancer: Ipv4Addr) {
-        if let Some(asker) = self.askers.get_mut(&balancer) {
-            asker.lapses = 0;
+    /// Records that a balancer used a grant, before or after it lapsed.
+    pub(super) fn record_use(&mut self, balancer: Ipv4Addr) {
+        if let Some(entry) = self.balancers.get_mut(&balancer) {
+            entry.lapses = 0;
         }
     }
 
-    /// Notes that a grant meant for others was used by an urgent opening: others are still due.
-    pub(super) fn others_passed_over(&mut self) {
-        if self.has(Class::Others) {
-            self.urgent_in_row = OTHERS_ONE_IN - 1;
+    /// Records that an urgent opening used a grant issued for a non-urgent one, which keeps the
+    /// non-urgent share due.
+    pub(super) fn keep_non_urgent_due(&mut self) {
+        if self.has_ungranted(Class::NonUrgent) {
+            self.consecutive_urgent = OTHERS_ONE_IN - 1;
         }
     }
 
-    /// Notes that a balancer had no use for a grant: nothing of the classes that the grant
-    /// was open to waits there.
-    pub(super) fn declined(&mut self, balancer: Ipv4Addr, urgent_only: bool) {
-        let Some(asker) = self.askers.get_mut(&balancer) else { return };
-        asker.lapses = 0;
-        asker.demand.urgent = WaitingOpenings::default();
-        asker.granted_urgent = asker.granted_urgent.saturating_sub(1);
-        if !urgent_only || asker.demand.is_empty() {
-            self.askers.remove(&balancer);
+    /// Records that a balancer declined a grant: no opening that the grant allows waits there.
+    pub(super) fn record_decline(&mut self, balancer: Ipv4Addr, urgent_only: bool) {
+        let Some(entry) = self.balancers.get_mut(&balancer) else { return };
+        entry.lapses = 0;
+        entry.demand.urgent = WaitingOpenings::default();
+        entry.outstanding_urgent = entry.outstanding_urgent.saturating_sub(1);
+        if !urgent_only || entry.demand.is_empty() {
+            self.balancers.remove(&balancer);
         }
     }
 
-    /// Notes that a balancer let a grant pass.
-    pub(super) fn lapsed(&mut self, balancer: Ipv4Addr, class: Class) {
-        let Some(asker) = self.askers.get_mut(&balancer) else { return };
-        asker.lapses += 1;
-        let granted = asker.granted(class);
-        *granted = granted.saturating_sub(1);
-        if asker.lapses >= MOST_LAPSES {
-            self.askers.remove(&balancer);
+    /// Records a lapsed grant.
+    pub(super) fn record_lapse(&mut self, balancer: Ipv4Addr, class: Class) {
+        let Some(entry) = self.balancers.get_mut(&balancer) else { return };
+        entry.lapses += 1;
+        let outstanding = entry.outstanding_mut(class);
+        *outstanding = outstanding.saturating_sub(1);
+        if entry.lapses >= LAPSE_THRESHOLD {
+            self.balancers.remove(&balancer);
         }
     }
 
-    /// Notes that no grant is outstanding any more.
-    pub(super) fn forget_grants(&mut self) {
-        for asker in self.askers.values_mut() {
-            (asker.granted_urgent, asker.granted_others) = (0, 0);
+    /// Clears all outstanding grants.
+    pub(super) fn clear_grants(&mut self) {
+        for entry in self.balancers.values_mut() {
+            (entry.outstanding_urgent, entry.outstanding_non_urgent) = (0, 0);
         }
     }
 }
--- a/crates/steering/src/agent/flow.rs
+++ b/crates/steering/src/agent/flow.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of one flow at its target.
+//! State of a flow that an agent tracks.
 
 use std::net::Ipv4Addr;
 
@@ -10,21 +10,20 @@
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
     pub(super) balancer: Ipv4Addr,
-    /// When a request was delivered to which nothing was answered yet.
+    /// When a request was delivered that has no answer yet.
     pub(super) waiting_since: Option<Millis>,
-    /// Where the client's data delivered so far ends. Data before it was sent
-    /// again and asks for nothing new.
+    /// End sequence number of the client's data delivered so far. Data before it is a
+    /// retransmission and carries no new request.
     pub(super) delivered_to: Option<u32>,
-    /// The flow was admitted and its first request is yet to come.
+    /// Whether the flow was admitted and its first request has not arrived yet.
     pub(super) expected: bool,
-    /// Since when a balancer searches that does not know yet whether the target
-    /// holds the flow.
+    /// When a balancer that does not know whether the target holds the flow began its search.
     pub(super) searched_since: Option<Millis>,
-    /// The target sent more than an answer to an opening packet.
+    /// Whether the target sent anything beyond its answer to the opening packet.
     pub(super) confirmed: bool,
-    /// When its opening packet was admitted, until its first request came.
+    /// When the opening packet was admitted; cleared by the first request.
     pub(super) admitted_at: Option<Millis>,
-    /// When its first packet came here.
+    /// When the flow's first packet arrived.
     pub(super) opened_at: Millis,
     pub(super) used_at: Millis,
     /// The client's latest packet, unless it opened or ended the flow.
@@ -32,26 +31,26 @@
 }
 
 impl Flow {
-    /// Whether the target holds the flow as far as can be told: it wrote on it, or
-    /// took data of it that no search brought. A bounce removes the entry.
+    /// Whether the target is assumed to hold the flow: it sent data on it, or accepted data that
+    /// did not come from a search. A bounce removes the entry.
     pub(super) fn is_held(&self) -> bool {
         self.confirmed || (self.delivered_to.is_some() && self.searched_since.is_none())
     }
 
-    /// Keeps the packet, unless it opens or ends the flow.
-    pub(super) fn keep_latest(&mut self, head: &PacketHead, packet: &[u8]) {
+    /// Stores the packet as the latest one, unless it opens or ends the flow.
+    pub(super) fn update_latest(&mut self, head: &PacketHead, packet: &[u8]) {
         let flags = head.flags;
         if flags.syn || flags.fin || flags.rst {
             self.latest = LatestPacket::default();
         } else {
-            self.latest.set(packet, head.acknowledgment);
+            self.latest.replace(packet, head.acknowledgment);
         }
     }
 
-    /// Notes the packet's data. Returns whether any of it is new.
-    pub(super) fn takes_new_data(&mut self, head: &PacketHead) -> bool {
+    /// Records the packet's data and returns whether any of it is new.
+    pub(super) fn record_data(&mut self, head: &PacketHead) -> bool {
         let end = head.sequence.wrapping_add(u32::from(head.length));
-        // Sequence numbers wrap: half of the range counts as ahead.
+        // Sequence numbers wrap: the half of the range after `known` counts as newer.
         let is_ahead = |known: u32| end.wrapping_sub(known) as i32 > 0;
         let is_new = head.length > 0 && self.delivered_to.is_none_or(is_ahead);
         if is_new {
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -1,17 +1,17 @@
-//! Gives room of the target to balancers at which openings wait.
+//! Grants the target's capacity to balancers at which openings wait.
 
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId};
 
 use super::Agent;
-use super::demand::{Class, Room};
+use super::demand::{AvailableCapacity, Class};
 use super::grants::{Grant, GrantUse};
 use crate::arrival::Arrival;
 
 impl Agent {
-    /// Takes in what waits at a balancer. Returns false if it is for another service.
-    /// [`Self::next_grant`] tells whether there is room at once.
+    /// Records a balancer's waiting openings. Returns false if they are for another service.
+    /// [`Self::next_grant`] returns a grant if there is capacity now.
     pub fn demand(
         &mut self,
         balancer: Ipv4Addr,
@@ -22,125 +22,130 @@
         let is_own = service == self.service;
         if is_own {
             self.grants.expire(now);
-            self.grants.heard(balancer, demand, now);
+            self.grants.record_demand(balancer, demand, now);
         }
         is_own
     }
 
-    /// A balancer has no use for a grant. Returns whether room was kept for it, which is
-    /// free now.
+    /// Handles a declined grant. Returns whether the grant was outstanding, in which case its
+    /// capacity is free again.
     pub fn declined(&mut self, balancer: Ipv4Addr, now: Millis) -> bool {
         self.grants.expire(now);
-        self.grants.declined(balancer)
+        self.grants.record_decline(balancer)
     }
 
-    /// The next grant to send, if the target has room for it; to be called together with
-    /// [`Self::next_outcome`] until both have nothing.
+    /// Returns the next grant to send, if the target has capacity for it. To be called alternately
+    /// with [`Self::next_outcome`] until both return `None`.
     pub fn next_grant(&mut self, now: Millis) -> Option<Grant> {
-        self.drop_expectations(now);
+        self.expire_expected(now);
         self.grants.expire(now);
-        let (balancer, class) = self.first_asker(now)?;
-        let goes_after_own = self.grants.own_turn && self.has_room_for_own();
-        if goes_after_own || !self.breaker.admits(now) {
+        let (balancer, class) = self.next_recipient(now)?;
+        let local_goes_first = self.grants.local_turn && self.has_capacity_for_local();
+        if local_goes_first || !self.breaker.try_admit(now) {
             return None;
         }
-        let urgent_only = class == Class::Urgent && !self.room().others;
+        let urgent_only = class == Class::Urgent && !self.available_capacity().non_urgent;
         let grant = Grant { balancer, urgent_only };
         self.grants.grant(grant, class, now);
-        self.grants.own_turn = true;
+        self.grants.local_turn = true;
         Some(grant)
     }
 
-    /// The next balancer that let a grant pass; each is told once.
+    /// Returns the next balancer that let a grant lapse. Each lapsed grant is reported once.
     pub fn next_lapsed(&mut self) -> Option<Ipv4Addr> {
         self.grants.next_lapsed()
     }
 
-    /// Number of balancers that ask for room.
+    /// Number of balancers that currently request capacity.
     pub fn asking(&self) -> usize {
-        self.grants.asking()
+        self.grants.requesting_balancers()
     }
 
-    /// Room that is kept for balancers.
+    /// Number of outstanding grants, each of which reserves capacity for one new flow.
     pub fn kept_room(&self) -> u32 {
-        self.grants.kept()
+        self.grants.reserved()
     }
 
-    /// Whether the next room goes to a balancer, not to an opening that waits here: they
-    /// take turns.
+    /// Whether the next free capacity goes to a balancer instead of an opening that waits at this
+    /// agent. The two take turns.
     pub(super) fn yields_to_grant(&self, now: Millis) -> bool {
-        !self.grants.own_turn && self.first_asker(now).is_some()
+        !self.grants.local_turn && self.next_recipient(now).is_some()
     }
 
-    /// Takes in the part of an opening packet that concerns grants.
+    /// Matches an opening packet with the grants, and records the demand that it reports.
     pub(super) fn use_grant(&mut self, arrival: &Arrival<'_>, now: Millis) -> GrantUse {
         self.grants.expire(now);
         let Some(rest) = arrival.granted else { return GrantUse::None };
-        // A doubled message must not take the room of the balancer's next opening.
+        // A duplicated message must not use up the grant for the balancer's next opening.
         let key = arrival.head.client_flow();
-        let came_from = self.flows.get(&key).map(|flow| flow.balancer);
-        if came_from == Some(arrival.balancer) && self.is_copy(&key, now) {
+        let known_balancer = self.flows.get(&key).map(|flow| flow.balancer);
+        if known_balancer == Some(arrival.balancer) && self.is_duplicate_opening(&key, now) {
             return GrantUse::None;
         }
-        self.grants.used(arrival.balancer, arrival.urgent, rest, now)
+        self.grants.record_use(arrival.balancer, arrival.urgent, rest, now)
     }
 
-    /// Whether the target fails and a new flow is turned away for that. One that may wait
-    /// found no better target; for one with a grant the breaker was asked already.
-    pub(super) fn is_turned_away(
+    /// Whether a new flow is rejected because the target fails. A flow that may wait found no
+    /// better target and is admitted. A flow with a valid grant passed the breaker when the grant
+    /// was issued, and is rejected only if the target was ejected since.
+    pub(super) fn is_rejected(
         &mut self,
         arrival: &Arrival<'_>,
         grant: GrantUse,
         now: Millis,
     ) -> bool {
         match grant {
-            GrantUse::InTime => self.breaker.is_ejected(now),
-            GrantUse::Late => !self.breaker.admits(now),
-            GrantUse::None => !arrival.may_wait && !self.breaker.admits(now),
+            GrantUse::Valid => self.breaker.is_ejected(now),
+            GrantUse::Lapsed => !self.breaker.try_admit(now),
+            GrantUse::None => !arrival.may_wait && !self.breaker.try_admit(now),
         }
     }
 
-    /// Whether there is room for a new flow. A target that hangs takes only one that found
-    /// no better target and may wait.
-    pub(super) fn has_room(&self, arrival: &Arrival<'_>, grant: GrantUse, now: Millis) -> bool {
-        let hangs = !arrival.may_wait && self.service_time.hangs(now);
-        let is_free = self.room().has(arrival.urgent) && !hangs && self.cold_start_admits(now);
+    /// Whether there is capacity for a new flow. A stalled target only takes a flow that found no
+    /// better target and may wait.
+    pub(super) fn has_capacity(&self, arrival: &Arrival<'_>, grant: GrantUse, now: Millis) -> bool {
+        let is_stalled = !arrival.may_wait && self.service_time.is_stalled(now);
+        let is_available = self.available_capacity().allows(arrival.urgent)
+            && !is_stalled
+            && self.cold_start_allows(now);
         match grant {
-            GrantUse::InTime => true,
-            GrantUse::Late => is_free,
-            GrantUse::None => is_free && !self.passes_over(arrival.urgent),
+            GrantUse::Valid => true,
+            GrantUse::Lapsed => is_available,
+            GrantUse::None => is_available && !self.would_overtake(arrival.urgent),
         }
     }
 
-    /// Whether a cold target bears one more new flow beside those that it has room kept for.
-    pub(super) fn cold_start_admits(&self, now: Millis) -> bool {
-        self.cold_start.admits(self.grants.kept(), now)
+    /// Whether the cold-start limit allows one more new flow in addition to the outstanding grants.
+    pub(super) fn cold_start_allows(&self, now: Millis) -> bool {
+        self.cold_start.allows(self.grants.reserved(), now)
     }
 
-    /// Whether an opening that nobody asked for would go before those that wait at balancers.
-    /// A target under test takes what comes.
-    fn passes_over(&self, urgent: bool) -> bool {
-        !self.breaker.is_open() && self.grants.goes_before(urgent)
+    /// Whether an opening without a grant would overtake openings that wait at balancers. While the
+    /// breaker is open or half-open this is allowed, so that the target gets its trial flows.
+    fn would_overtake(&self, urgent: bool) -> bool {
+        !self.breaker.is_open() && self.grants.has_waiting(urgent)
     }
 
-    /// The balancer that gets the next grant, if the target has room for one.
-    fn first_asker(&self, now: Millis) -> Option<(Ipv4Addr, Class)> {
-        let takes_any = self.takes_nothing().is_none()
+    /// Returns the balancer that gets the next grant, if the target has capacity for one.
+    fn next_recipient(&self, now: Millis) -> Option<(Ipv4Addr, Class)> {
+        let accepts_flows = self.rejection_reason().is_none()
             && self.breaker.would_admit(now)
-            && !self.service_time.hangs(now)
-            && self.cold_start_admits(now);
-        takes_any.then(|| self.grants.first(self.room(), now)).flatten()
+            && !self.service_time.is_stalled(now)
+            && self.cold_start_allows(now);
+        accepts_flows.then(|| self.grants.next_recipient(self.available_capacity(), now)).flatten()
     }
 
-    fn has_room_for_own(&self) -> bool {
-        self.openings.first_is_urgent().is_some_and(|urgent| self.room().has(urgent))
+    fn has_capacity_for_local(&self) -> bool {
+        self.openings
+            .first_is_urgent()
+            .is_some_and(|urgent| self.available_capacity().allows(urgent))
     }
 
-    pub(super) fn room(&self) -> Room {
-        let load = self.requests_in_hand();
-        Room {
+    pub(super) fn available_capacity(&self) -> AvailableCapacity {
+        let load = self.committed_requests();
+        AvailableCapacity {
             urgent: !self.admission.is_busy(load, true),
-            others: !self.admission.is_busy(load, false),
+            non_urgent: !self.admission.is_busy(load, false),
         }
     }
 }
--- a/crates/steering/src/agent/grants.rs
+++ b/crates/steering/src/agent/grants.rs
@@ -1,73 +1,73 @@
-//! Room that an agent has given to balancers and that is not used yet.
+//! Outstanding grants of capacity to balancers.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{Millis, OpeningDemand};
 
-use super::demand::{Class, DemandTable, Room};
+use super::demand::{AvailableCapacity, Class, DemandTable};
 
-/// How long room is kept for a balancer: a trip to another zone and back, and a busy balancer.
+/// Lifetime of a grant: a round trip to another zone, with allowance for a busy balancer.
 const GRANT_LIFETIME_MS: Millis = 20;
-/// Most grants that are unanswered at a time.
+/// Most grants outstanding at a time.
 const CAPACITY: usize = 1_024;
 
-/// Room for one opening packet, given to a balancer that asked.
+/// Capacity for one opening packet, granted to a balancer that requested it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The balancer.
     pub balancer: Ipv4Addr,
-    /// Whether the room is for openings of urgent routes alone.
+    /// Whether only openings of urgent routes may use it.
     pub urgent_only: bool,
 }
 
-/// How an opening packet stands to the grants.
+/// The grant that an opening packet uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantUse {
-    /// It uses none.
+    /// The packet uses no grant.
     None,
-    /// Room is kept for it.
-    InTime,
-    /// It was granted room that is not kept any more.
-    Late,
+    /// The packet uses an outstanding grant.
+    Valid,
+    /// The packet uses a grant that is no longer outstanding.
+    Lapsed,
 }
 
-/// A grant without an answer.
+/// A grant that the balancer has neither used nor declined yet.
 #[derive(Clone, Copy, Debug)]
 struct Outstanding {
     grant: Grant,
-    /// The class that it was meant for.
+    /// The class that the grant was issued for.
     class: Class,
     until: Millis,
 }
 
-/// The balancers that asked, and the grants to them in the order in which they lapse.
+/// The demand of balancers, and the outstanding grants in the order in which they expire.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Grants {
     demand: DemandTable,
     outstanding: VecDeque<Outstanding>,
-    /// Balancers that let a grant pass, not told yet.
+    /// Balancers whose grants lapsed, not reported yet.
     lapsed: VecDeque<Ipv4Addr>,
-    /// Whether openings that wait at the agent itself go before the next grant.
-    pub(super) own_turn: bool,
+    /// Whether openings that wait at this agent take precedence over the next grant.
+    pub(super) local_turn: bool,
 }
 
 impl Grants {
-    /// Takes in what waits at a balancer.
-    pub(super) fn heard(&mut self, balancer: Ipv4Addr, demand: OpeningDemand, now: Millis) {
+    /// Records a balancer's demand.
+    pub(super) fn record_demand(&mut self, balancer: Ipv4Addr, demand: OpeningDemand, now: Millis) {
         let outstanding = &self.outstanding;
         let granted = |class| {
             let is_own =
                 |entry: &&Outstanding| entry.grant.balancer == balancer && entry.class == class;
             u16::try_from(outstanding.iter().filter(is_own).count()).unwrap_or(u16::MAX)
         };
-        self.demand.heard(balancer, demand, granted, now);
+        self.demand.record_demand(balancer, demand, granted, now);
     }
 
-    /// Ends grants that were not answered in time, and forgets silent balancers.
+    /// Removes grants and demand whose lifetime has ended.
     pub(super) fn expire(&mut self, now: Millis) {
         while let Some(entry) = self.outstanding.pop_front_if(|entry| entry.until <= now) {
-            self.demand.lapsed(entry.grant.balancer, entry.class);
+            self.demand.record_lapse(entry.grant.balancer, entry.class);
             if self.lapsed.len() < CAPACITY {
                 self.lapsed.push_back(entry.grant.balancer);
             }
@@ -75,39 +75,44 @@
         self.demand.expire(now);
     }
 
-    /// Room that is kept for balancers.
-    pub(super) fn kept(&self) -> u32 {
+    /// Number of outstanding grants.
+    pub(super) fn reserved(&self) -> u32 {
         self.outstanding.len() as u32
     }
 
-    /// Number of balancers known to ask.
-    pub(super) fn asking(&self) -> usize {
+    /// Number of requesting balancers.
+    pub(super) fn requesting_balancers(&self) -> usize {
         self.demand.len()
     }
 
-    /// Whether an opening at a balancer goes before one of this class that comes unasked.
-    pub(super) fn goes_before(&self, urgent: bool) -> bool {
-        self.demand.goes_before(Class::of(urgent))
+    /// Whether an opening that waits at a balancer takes precedence over one of this class that
+    /// arrives without a grant.
+    pub(super) fn has_waiting(&self, urgent: bool) -> bool {
+        self.demand.has_waiting(Class::of(urgent))
     }
 
-    /// Whom to grant room to next, and for which class.
-    pub(super) fn first(&self, room: Room, now: Millis) -> Option<(Ipv4Addr, Class)> {
+    /// Returns the balancer that gets the next grant, and the class it is for.
+    pub(super) fn next_recipient(
+        &self,
+        capacity: AvailableCapacity,
+        now: Millis,
+    ) -> Option<(Ipv4Addr, Class)> {
         if self.outstanding.len() >= CAPACITY {
             return None;
         }
-        self.demand.first(room, now)
+        self.demand.next_recipient(capacity, now)
     }
 
-    /// Keeps room for a balancer.
+    /// Records a grant as outstanding.
     pub(super) fn grant(&mut self, grant: Grant, class: Class, now: Millis) {
         let until = now + GRANT_LIFETIME_MS;
         self.outstanding.push_back(Outstanding { grant, class, until });
-        self.demand.granted(grant.balancer, class);
+        self.demand.record_grant(grant.balancer, class);
     }
 
-    /// A balancer answered a grant with an opening, and told what still waits. Returns
-    /// whether room was still kept for it.
-    pub(super) fn used(
+    /// Records that a balancer used its oldest grant for an opening, and its remaining demand.
+    /// Returns whether the grant was still outstanding.
+    pub(super) fn record_use(
         &mut self,
         balancer: Ipv4Addr,
         urgent: bool,
@@ -115,36 +120,36 @@
         now: Millis,
     ) -> GrantUse {
         let taken = self.take(balancer);
-        self.demand.answered(balancer);
-        self.heard(balancer, rest, now);
-        let Some(entry) = taken else { return GrantUse::Late };
-        if urgent && entry.class == Class::Others {
-            self.demand.others_passed_over();
+        self.demand.record_use(balancer);
+        self.record_demand(balancer, rest, now);
+        let Some(entry) = taken else { return GrantUse::Lapsed };
+        if urgent && entry.class == Class::NonUrgent {
+            self.demand.keep_non_urgent_due();
         }
-        GrantUse::InTime
+        GrantUse::Valid
     }
 
-    /// A balancer has no use for a grant. Returns whether room was kept for it.
-    pub(super) fn declined(&mut self, balancer: Ipv4Addr) -> bool {
+    /// Removes a grant that a balancer declined. Returns whether one was outstanding.
+    pub(super) fn record_decline(&mut self, balancer: Ipv4Addr) -> bool {
         let Some(entry) = self.take(balancer) else { return false };
-        self.demand.declined(balancer, entry.grant.urgent_only);
+        self.demand.record_decline(balancer, entry.grant.urgent_only);
         true
     }
 
-    /// Takes out the oldest grant to a balancer, which answers them in their order.
+    /// Removes the balancer's oldest grant. Balancers answer grants in the order of issue.
     fn take(&mut self, balancer: Ipv4Addr) -> Option<Outstanding> {
         let place = self.outstanding.iter().position(|entry| entry.grant.balancer == balancer)?;
         self.outstanding.remove(place)
     }
 
-    /// The next balancer that let a grant pass.
+    /// Returns the next balancer whose grant lapsed.
     pub(super) fn next_lapsed(&mut self) -> Option<Ipv4Addr> {
         self.lapsed.pop_front()
     }
 
-    /// Gives up all room that is kept; who asked is still known.
-    pub(super) fn forget_outstanding(&mut self) {
+    /// Revokes all outstanding grants. The demand of balancers remains.
+    pub(super) fn revoke_outstanding(&mut self) {
         self.outstanding.clear();
-        self.demand.forget_grants();
+        self.demand.clear_grants();
     }
 }
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! An agent's decisions about packets to and from the target beside it.
+//! Decisions of an agent about packets to and from its target.
 
 mod admission;
 mod breaker;
@@ -30,7 +30,7 @@
 use crate::arrival::Arrival;
 use crate::packet::{AnswerStatus, FlowKey, OPENING_SPAN_MS, PacketHead};
 use crate::waiting_room::WaitingRoom;
-use admission::Admission;
+use admission::AdmissionLimit;
 use breaker::CircuitBreaker;
 use cold_start::ColdStart;
 use deliveries::Deliveries;
@@ -41,49 +41,50 @@
 use round_trip::RoundTrip;
 use service_time::ServiceTime;
 
-/// Most flows that an agent follows; the target itself holds fewer.
+/// Most flows that an agent tracks; the target itself holds fewer.
 const FLOW_CAPACITY: usize = 8_192;
-/// A flow that rested for this long is no longer followed.
+/// Minimum idle time after which a flow is no longer tracked.
 const FLOW_IDLE_MS: Millis = 60_000;
 
-/// A request without an answer for this long no longer counts: its client gave up
-/// or its answer was not seen.
-const LONGEST_REQUEST_MS: Millis = 3_000;
-/// Most searches followed at a time.
+/// A request that has no answer after this time no longer counts: its client gave up, or the agent
+/// did not see the answer.
+const REQUEST_TIMEOUT_MS: Millis = 3_000;
+/// Most searches tracked at a time.
 const SEARCH_CAPACITY: usize = 1_024;
-/// The state of an agent.
+
+/// Tracks the flows of one target and decides about its packets.
 #[derive(Clone, Debug)]
 pub struct Agent {
     service: ServiceId,
     deliveries: Deliveries,
     flows: HashMap<FlowKey, Flow>,
     waiting: u32,
-    /// Admitted flows whose first request is yet to come.
+    /// Number of admitted flows whose first request has not arrived yet.
     expected: u32,
-    /// Those flows in the order of admission, with the time until which they count.
-    expectations: VecDeque<(Millis, FlowKey)>,
+    /// These flows in the order of admission, each with the time until which it counts.
+    expected_until: VecDeque<(Millis, FlowKey)>,
     round_trip: RoundTrip,
     openings: WaitingRoom,
     grants: Grants,
-    /// Searches that the target did not answer yet, in the order of delivery.
+    /// Searches that the target has not answered yet, in the order of delivery.
     searches: VecDeque<(Millis, FlowKey)>,
-    /// When the target last wrote anything.
-    wrote_at: Option<Millis>,
-    admission: Admission,
+    /// When the target last sent a packet.
+    last_output_at: Option<Millis>,
+    admission: AdmissionLimit,
     service_time: ServiceTime,
     breaker: CircuitBreaker,
     cold_start: ColdStart,
-    /// The latest change of the breaker, not told yet.
+    /// The latest state change of the breaker, not reported yet.
     breaker_change: Option<BreakerChange>,
     leaving: bool,
-    /// Whether the zone of the target is evacuated.
+    /// Whether the target's zone is evacuated.
     evacuated: bool,
     restart_checks: RestartChecks,
     former: FormerFlows,
 }
 
 impl Agent {
-    /// An agent beside a target of this service.
+    /// Creates the agent of a target of this service.
     pub fn new(service: ServiceId) -> Self {
         Self {
             service,
@@ -91,13 +92,13 @@
             flows: HashMap::new(),
             waiting: 0,
             expected: 0,
-            expectations: VecDeque::new(),
+            expected_until: VecDeque::new(),
             round_trip: RoundTrip::default(),
             openings: WaitingRoom::default(),
             grants: Grants::default(),
             searches: VecDeque::new(),
-            wrote_at: None,
-            admission: Admission::default(),
+            last_output_at: None,
+            admission: AdmissionLimit::default(),
             service_time: ServiceTime::default(),
             breaker: CircuitBreaker::default(),
             cold_start: ColdStart::default(),
@@ -109,35 +110,35 @@
         }
     }
 
-    /// Requests that wait for an answer of the target.
+    /// Number of requests that the target has not answered yet.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Number of flows followed.
+    /// Number of tracked flows.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether the target wrote anything at this time or later.
+    /// Whether the target sent a packet at or after `time`.
     pub fn wrote_since(&self, time: Millis) -> bool {
-        self.wrote_at.is_some_and(|at| at >= time)
+        self.last_output_at.is_some_and(|at| at >= time)
     }
 
-    /// Takes no new flows from now on.
+    /// Stops admitting new flows, because the agent is shutting down.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Notes that the target started again: it holds nothing of before, and what was found
-    /// out about the life before says nothing about this one. Openings that wait keep their
-    /// turn, and new flows of the last second still count against a cold target's limit. The
-    /// flows are to be checked by [`Self::next_check`].
+    /// Handles a restart of the target. The new incarnation holds no earlier flow, and what was
+    /// measured of the previous one does not apply to it. Waiting openings stay queued, and new
+    /// flows of the last second still count towards the cold-start limit.
+    /// [`Self::next_check`] returns the checks to send for the flows tracked so far.
     pub fn target_restarted(&mut self) {
         let was_ejected = self.breaker.is_open();
-        self.grants.forget_outstanding();
-        // Some may be flows that the target opened since.
-        self.former.unfollow_all(&self.flows);
+        self.grants.revoke_outstanding();
+        // Some of these flows may have been opened since the restart.
+        self.former.record_all_untracked(&self.flows);
         self.restart_checks.add(std::mem::take(&mut self.flows));
         let fresh = Self::new(self.service);
         *self = Self {
@@ -154,30 +155,30 @@
         };
     }
 
-    /// Notes whether the zone of the target is evacuated: then it takes no new flows, also
-    /// not from balancers that do not know of that yet.
+    /// Sets whether the target's zone is evacuated. While it is, no new flows are admitted, not
+    /// even from balancers that have not received the evacuation yet.
     pub fn set_evacuated(&mut self, evacuated: bool) {
         self.evacuated = evacuated;
     }
 
-    /// Notes how many new flows the target bears while it is slow from its start, and until
-    /// when it is.
+    /// Sets the rate of new flows that the target can take while it is cold, and the time until
+    /// which it is cold.
     pub fn set_cold_start(&mut self, rate: Option<ColdStartRate>, cold_until: Millis) {
-        self.cold_start.set(rate, cold_until);
+        self.cold_start.configure(rate, cold_until);
     }
 
-    /// Whether it is known how many requests the target works on at once.
+    /// Whether the number of requests that the target processes concurrently is known.
     pub fn is_sized(&self) -> bool {
-        self.admission.is_sized()
+        self.admission.has_known_slots()
     }
 
-    /// Notes how many requests the target works on at once.
+    /// Sets the number of requests that the target processes concurrently.
     pub fn set_slots(&mut self, slots: u32) {
         self.admission.set_slots(slots);
         self.service_time.set_slots(slots);
     }
 
-    /// Decides about a client's packet that a balancer sent.
+    /// Decides what to do with a client's packet that a balancer forwarded.
     pub fn delivery(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
         if arrival.head.is_opening() {
             if arrival.service != self.service {
@@ -187,33 +188,33 @@
             if self.leaving {
                 return DeliveryDecision::Return(ReturnReason::Leaving);
             }
-            if self.evacuated && !self.is_copy(&arrival.head.client_flow(), now) {
+            if self.evacuated && !self.is_duplicate_opening(&arrival.head.client_flow(), now) {
                 return DeliveryDecision::Return(ReturnReason::Evacuated);
             }
             let is_new = !self.flows.contains_key(&arrival.head.client_flow());
-            if is_new && self.is_turned_away(arrival, grant, now) {
+            if is_new && self.is_rejected(arrival, grant, now) {
                 return DeliveryDecision::Return(ReturnReason::Failing);
             }
-            if is_new && !self.has_room(arrival, grant, now) {
-                return self.busy_opening(arrival, now);
+            if is_new && !self.has_capacity(arrival, grant, now) {
+                return self.queue_or_return(arrival, now);
             }
-            // This may be a copy that found room before the packet that waits: its flow
-            // must not be refused later.
+            // This may be a copy that is admitted while the original packet still waits. Returning
+            // the original later would make its balancer reset the open flow.
             self.openings.remove(&arrival.head.client_flow());
         }
         let notice = self.search_notice(arrival);
-        // A balancer that is told now need not be told when the target answers.
+        // A balancer that gets a notice now needs none when the target answers.
         let searched = arrival.search.is_some() && notice.is_none();
-        self.follow(arrival.head, arrival.packet, arrival.balancer, searched, now);
-        let echo = self.deliveries.remember(arrival);
+        self.track(arrival.head, arrival.packet, arrival.balancer, searched, now);
+        let echo = self.deliveries.record(arrival);
         DeliveryDecision::Deliver { echo, notice }
     }
 
-    /// The next waiting opening packet that has an outcome.
+    /// Returns the next waiting opening packet that is due, with its outcome.
     pub fn next_outcome(&mut self, now: Millis) -> Option<WaitOutcome> {
-        self.drop_expectations(now);
+        self.expire_expected(now);
         self.grants.expire(now);
-        if let Some(reason) = self.takes_nothing()
+        if let Some(reason) = self.rejection_reason()
             && let Some(opening) = self.openings.take_any()
         {
             return Some(WaitOutcome::Return(opening, reason));
@@ -221,28 +222,28 @@
         if let Some(opening) = self.openings.take_over(now) {
             return Some(WaitOutcome::Return(opening, ReturnReason::Busy));
         }
-        if !self.cold_start_admits(now) || self.yields_to_grant(now) {
+        if !self.cold_start_allows(now) || self.yields_to_grant(now) {
             return None;
         }
-        let room = self.room();
-        let opening = self.openings.take_first(|urgent| room.has(urgent))?;
-        self.grants.own_turn = false;
-        self.follow(&opening.head, &opening.packet, opening.balancer, false, now);
-        let echo = self.deliveries.remember_waited(opening.balancer);
+        let capacity = self.available_capacity();
+        let opening = self.openings.take_first(|urgent| capacity.allows(urgent))?;
+        self.grants.local_turn = false;
+        self.track(&opening.head, &opening.packet, opening.balancer, false, now);
+        let echo = self.deliveries.record_waited(opening.balancer);
         Some(WaitOutcome::Deliver(opening, echo))
     }
 
-    /// The next flow to ask a target about that started again: the packet to hand to it and
-    /// the packet's label.
+    /// Returns the next flow to check at a restarted target, with the packet to deliver and its
+    /// echo label.
     pub fn next_check(&mut self) -> Option<RestartCheck> {
         let check = self.restart_checks.next()?;
         let sequence = check.latest.acknowledgment;
-        let echo = self.deliveries.remember_check(check.balancer, sequence);
+        let echo = self.deliveries.record_check(check.balancer, sequence);
         Some(RestartCheck { flow: check.flow, packet: check.latest.bytes, echo })
     }
 
-    /// Why no new flow is taken at all, if so.
-    fn takes_nothing(&self) -> Option<ReturnReason> {
+    /// Why new flows are rejected regardless of load, if they are.
+    fn rejection_reason(&self) -> Option<ReturnReason> {
         match (self.leaving, self.evacuated) {
             (true, _) => Some(ReturnReason::Leaving),
             (false, true) => Some(ReturnReason::Evacuated),
@@ -250,14 +251,14 @@
         }
     }
 
-    /// Whether an opening packet of this flow was handed to the target lately; the target
-    /// takes a further one for the same flow.
-    fn is_copy(&self, flow: &FlowKey, now: Millis) -> bool {
+    /// Whether an opening packet of this flow was delivered recently. The target accepts further
+    /// copies.
+    fn is_duplicate_opening(&self, flow: &FlowKey, now: Millis) -> bool {
         let opened_at = self.flows.get(flow).map(|flow| flow.opened_at);
         opened_at.is_some_and(|at| now.saturating_sub(at) < OPENING_SPAN_MS)
     }
 
-    fn busy_opening(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
+    fn queue_or_return(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
         if self.openings.has(&arrival.head.client_flow()) {
             return DeliveryDecision::WaitsAlready;
         }
@@ -268,34 +269,34 @@
         DeliveryDecision::Wait { displaced }
     }
 
-    /// Takes in how the target answered a request, from the packet in which its answer
-    /// begins; to be called before [`Self::output`] for the same packet.
+    /// Records the status of an answer, from the packet in which the answer begins. To be called
+    /// before [`Self::output`] for the same packet.
     pub fn answer_begins(&mut self, flow: &FlowKey, status: AnswerStatus, now: Millis) {
-        let waits = self.flows.get(flow).is_some_and(|flow| flow.waiting_since.is_some());
-        if !waits {
+        let is_waiting = self.flows.get(flow).is_some_and(|flow| flow.waiting_since.is_some());
+        if !is_waiting {
             return;
         }
         if status != AnswerStatus::Good {
             // Most refusals and failures take less time than the work itself.
             self.service_time.advance(now);
-            self.service_time.withdrawn(flow);
+            self.service_time.record_abandoned(flow);
         }
         let change = match status {
-            AnswerStatus::Good => self.breaker.succeeded(now),
-            AnswerStatus::Failed => self.breaker.failed(now),
+            AnswerStatus::Good => self.breaker.record_success(now),
+            AnswerStatus::Failed => self.breaker.record_failure(now),
             AnswerStatus::NotRun => None,
         };
         self.breaker_change = change.or(self.breaker_change);
     }
 
-    /// The latest change in whether the target gets new flows; given out once.
+    /// Takes the latest state change of the breaker.
     pub fn take_breaker_change(&mut self) -> Option<BreakerChange> {
         self.breaker_change.take()
     }
 
-    /// Decides about a packet that the target sent.
+    /// Decides what to do with a packet that the target sent.
     pub fn output(&mut self, head: &PacketHead, now: Millis) -> OutputDecision {
-        self.wrote_at = Some(now);
+        self.last_output_at = Some(now);
         self.service_time.advance(now);
         if head.flags.bounced {
             return self.not_taken(&head.client_flow(), head.echo);
@@ -308,15 +309,15 @@
         let ends = head.flags.fin || head.flags.rst;
         let answered = if head.length > 0 || ends { entry.waiting_since.take() } else { None };
         if let Some(since) = answered {
-            self.admission.answered(now.saturating_sub(since), self.waiting);
+            self.admission.record_answer(now.saturating_sub(since), self.waiting);
             if head.length > 0 {
-                self.service_time.answered(&flow);
+                self.service_time.record_answer(&flow);
             } else {
-                self.service_time.withdrawn(&flow);
+                self.service_time.record_abandoned(&flow);
             }
             self.waiting -= 1;
             if head.flags.rst {
-                self.breaker_change = self.breaker.failed(now).or(self.breaker_change);
+                self.breaker_change = self.breaker.record_failure(now).or(self.breaker_change);
             }
         }
         let answers_opening = head.flags.syn && head.flags.ack;
@@ -327,35 +328,36 @@
             entry.confirmed = true;
         }
         if head.flags.rst {
-            self.forget(&flow);
+            self.untrack(&flow);
         }
         OutputDecision::ToClient { notice: is_due.then_some(notice) }
     }
 
-    /// Stops following flows that rested long.
+    /// Stops tracking idle flows, and stops counting requests that have waited too long for an
+    /// answer.
     pub fn expire(&mut self, now: Millis) {
-        self.drop_expectations(now);
+        self.expire_expected(now);
         self.service_time.advance(now);
         let (waiting, service_time) = (&mut self.waiting, &mut self.service_time);
         let idle_ms = self.former.idle_ms();
         self.flows.retain(|key, flow| {
             let keep = now.saturating_sub(flow.used_at) < idle_ms;
-            let waits = flow
+            let timed_out = flow
                 .waiting_since
-                .take_if(|since| !keep || now.saturating_sub(*since) >= LONGEST_REQUEST_MS);
-            if waits.is_some() {
+                .take_if(|since| !keep || now.saturating_sub(*since) >= REQUEST_TIMEOUT_MS);
+            if timed_out.is_some() {
                 *waiting -= 1;
-                service_time.withdrawn(key);
+                service_time.record_abandoned(key);
             }
             keep
         });
     }
 
-    /// Decides about a packet that the target did not take: it bounced, or the
-    /// target's port is closed.
+    /// Decides what to do with a packet that the target did not accept: it bounced, or the target's
+    /// port is closed.
     pub fn not_taken(&mut self, flow: &FlowKey, echo: u32) -> OutputDecision {
-        self.forget(flow);
-        let onward = self.deliveries.onward(echo);
-        onward.unwrap_or(OutputDecision::Drop(OutputDrop::UnknownDelivery))
+        self.untrack(flow);
+        let decision = self.deliveries.take_undelivered(echo);
+        decision.unwrap_or(OutputDecision::Drop(OutputDrop::UnknownDelivery))
     }
 }
--- a/crates/steering/src/agent/restart_checks.rs
+++ b/crates/steering/src/agent/restart_checks.rs
@@ -1,10 +1,10 @@
-//! Flows that the target may have lost when it started again.
+//! Checks which flows the target lost in a restart.
 //!
-//! A target starts some time before its record says so, and from here the flows that it opened
-//! since cannot be told from those of before. The target itself can: each flow's latest packet
-//! of its client is handed to it once more. A target that holds the flow takes the packet for
-//! a repetition; one that does not sends it back, and the client's flow is reset. A client that
-//! waits for an answer sends nothing, and would notice only at its deadline.
+//! A target restarts some time before its record shows it, and the agent cannot tell flows opened
+//! since the restart from earlier ones. The target can: the latest packet of each flow's client is
+//! delivered to it again. A target that holds the flow treats the packet as a retransmission. One
+//! that does not bounces it, and the client's flow is reset. Without this check, a client that
+//! waits for an answer sends nothing and would notice the loss only at its deadline.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -22,21 +22,22 @@
     /// The balancer that sent the flow's latest packet.
     pub(super) balancer: Ipv4Addr,
     pub(super) latest: LatestPacket,
-    waits: bool,
+    has_unanswered_request: bool,
     used_at: Millis,
 }
 
-/// The latest packet of a flow's client; empty if it may not be handed over again.
+/// The latest packet of a flow's client; empty if it must not be delivered again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct LatestPacket {
     pub(super) bytes: Vec<u8>,
-    /// Its acknowledgment number: where a reset of the flow has to stand.
+    /// The packet's acknowledgment number, which is the sequence number for a reset of the flow.
     pub(super) acknowledgment: u32,
 }
 
 impl LatestPacket {
-    /// Replaces the bytes. Idle flows keep no room for data that they sent once.
-    pub(super) fn set(&mut self, packet: &[u8], acknowledgment: u32) {
+    /// Replaces the packet. Frees an oversized buffer, so that idle flows do not keep memory for
+    /// data sent earlier.
+    pub(super) fn replace(&mut self, packet: &[u8], acknowledgment: u32) {
         if self.bytes.capacity() / 2 > packet.len() {
             self.bytes = Vec::new();
         }
@@ -46,36 +47,38 @@
     }
 }
 
-/// The flows still to be checked, those with waiting requests first.
+/// The flows still to be checked: those with unanswered requests first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RestartChecks {
-    waiting: VecDeque<FlowCheck>,
+    pending: VecDeque<FlowCheck>,
 }
 
 impl RestartChecks {
-    /// Adds the flows that the target is known to have held.
+    /// Adds the flows that the previous incarnation is known to have held.
     pub(super) fn add(&mut self, flows: HashMap<FlowKey, Flow>) {
         let checks = flows.into_iter().filter(|(_, flow)| is_checkable(flow));
-        self.waiting.extend(checks.map(|(key, flow)| FlowCheck {
+        self.pending.extend(checks.map(|(key, flow)| FlowCheck {
             flow: key,
             balancer: flow.balancer,
             latest: flow.latest,
-            waits: flow.waiting_since.is_some(),
+            has_unanswered_request: flow.waiting_since.is_some(),
             used_at: flow.used_at,
         }));
-        // The latest of those that wait, then the latest of the others.
-        let order = |check: &FlowCheck| std::cmp::Reverse((check.waits, check.used_at));
-        self.waiting.make_contiguous().sort_by_key(order);
-        self.waiting.truncate(FLOW_CAPACITY);
+        // Flows with unanswered requests first, then the others; the most recently used first in
+        // each group.
+        let order =
+            |check: &FlowCheck| std::cmp::Reverse((check.has_unanswered_request, check.used_at));
+        self.pending.make_contiguous().sort_by_key(order);
+        self.pending.truncate(FLOW_CAPACITY);
     }
 
     pub(super) fn next(&mut self) -> Option<FlowCheck> {
-        self.waiting.pop_front()
+        self.pending.pop_front()
     }
 }
 
-/// Whether a packet that the target sends back proves that it lost the flow. Another target may
-/// hold a flow on which this one wrote no more than an answer to the opening packet.
+/// Whether a bounce proves that the target lost the flow. A flow may be held by another target if
+/// this one sent no more than an answer to its opening packet.
 fn is_checkable(flow: &Flow) -> bool {
     flow.confirmed && !flow.latest.bytes.is_empty()
 }
--- a/crates/steering/src/agent/round_trip.rs
+++ b/crates/steering/src/agent/round_trip.rs
@@ -1,21 +1,21 @@
-//! How long admitted flows take until their first request comes.
+//! Measures the time from the admission of a flow to its first request.
 //!
-//! An admitted flow holds room at the target until then. Some never bring a request: their
-//! clients gave up, or went on with another target. The shorter the wait for them, the
-//! less room they take from others; too short, and a target gets more than it has room for.
+//! An admitted flow occupies capacity of the target until then. Some flows never send a request,
+//! because their clients gave up or continued with another target. A shorter timeout frees their
+//! capacity sooner; one that is too short overloads the target.
 
 use weirhinge_fleet::Millis;
 
-/// Shortest wait: a journey on a fast network, with room for a client that is busy.
-const SHORTEST_MS: Millis = 15;
-/// Longest wait, and the one before anything was measured.
-const LONGEST_MS: Millis = 60;
-/// The smoothed mean and deviation take an eighth and a quarter of each new sample, and the
-/// wait is the mean and four deviations: the retransmission timer of RFC 6298.
+/// Lower bound of the timeout: a round trip on a fast network, with allowance for a busy client.
+const MIN_TIMEOUT_MS: Millis = 15;
+/// Upper bound of the timeout, and its value before the first measurement.
+const MAX_TIMEOUT_MS: Millis = 60;
+/// Each sample contributes an eighth to the smoothed mean and a quarter to the smoothed deviation.
+/// The timeout is the mean plus four deviations, like the retransmission timer of RFC 6298.
 const MEAN_GAIN: i64 = 8;
 const DEVIATION_GAIN: i64 = 4;
 const DEVIATIONS: i64 = 4;
-/// Values are kept in these parts of a millisecond.
+/// Fixed-point scale of the stored values, in units per millisecond.
 const SCALE: i64 = 64;
 
 /// Smoothed mean and deviation, in 64ths of a millisecond.
@@ -25,9 +25,9 @@
 }
 
 impl RoundTrip {
-    /// Takes in the time from an admission to the flow's first request.
-    pub(super) fn note(&mut self, took: Millis) {
-        let sample = took.min(LONGEST_MS) as i64 * SCALE;
+    /// Records the time from an admission to the flow's first request.
+    pub(super) fn record(&mut self, took: Millis) {
+        let sample = took.min(MAX_TIMEOUT_MS) as i64 * SCALE;
         self.measured = Some(match self.measured {
             None => (sample, sample / 2),
             Some((mean, deviation)) => {
@@ -38,10 +38,10 @@
         });
     }
 
-    /// Time in which the first request of an admitted flow is expected.
-    pub(super) fn expected_within(&self) -> Millis {
-        let Some((mean, deviation)) = self.measured else { return LONGEST_MS };
-        let wait = (mean + DEVIATIONS * deviation) / SCALE;
-        wait.unsigned_abs().clamp(SHORTEST_MS, LONGEST_MS)
+    /// Returns how long to expect the first request of an admitted flow.
+    pub(super) fn timeout(&self) -> Millis {
+        let Some((mean, deviation)) = self.measured else { return MAX_TIMEOUT_MS };
+        let timeout = (mean + DEVIATIONS * deviation) / SCALE;
+        timeout.unsigned_abs().clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS)
     }
 }
--- a/crates/steering/src/agent/service_time.rs
+++ b/crates/steering/src/agent/service_time.rs
@@ -1,8 +1,8 @@
-//! How long the target beside an agent takes for a request, measured from its answers.
+//! Estimates the service time of the target from its answers.
 //!
-//! The target is taken to work on as many requests at once as it has slots, and to begin
-//! others in their order as slots become free. A target that takes them in another order
-//! shows the same average: slots that are at work for the same time answer as many requests.
+//! The model: the target processes as many requests concurrently as it has slots, and starts the
+//! others in order of arrival as slots become free. A target that uses another order yields the
+//! same average, because slots that are busy for the same time answer as many requests.
 
 use std::collections::VecDeque;
 
@@ -10,82 +10,85 @@
 
 use crate::packet::FlowKey;
 
-/// Weight of one more answer in the average: some ten answers replace it.
-const ANSWER_WEIGHT: f64 = 0.125;
-/// Time without an answer after which the next one has a greater weight, up to
-/// [`MOST_WEIGHT`]: what was measured before is old by then.
-const MEMORY_MS: f64 = 1_000.0;
-/// Most weight of one more answer, once there are [`FEWEST_ANSWERS`].
-const MOST_WEIGHT: f64 = 0.5;
-/// Answers from which the average is told; fewer tell more of the requests than of the target.
-const FEWEST_ANSWERS: u32 = 4;
-/// Most that one answer counts, in multiples of the average: a few requests ask for far more
-/// work than others, at any target.
-const MOST_MULTIPLE: f64 = 4.0;
-/// Least average for that bound. Times are whole milliseconds, so that a quick target's
-/// average may be none at all.
-const LEAST_BOUNDED_MS: f64 = 2.0;
-/// Time without an answer after which nothing is known of the target any more, so that one
-/// that was slow is tried again.
-const AGED_MS: Millis = 3_000;
-/// A request that takes this long is told of a target of which nothing else is known; well
-/// above what an interactive request takes.
+/// Weight of a new sample in the average, which about ten samples replace.
+const MIN_WEIGHT: f64 = 0.125;
+/// Gap since the previous answer at which the weight of the next one would reach 1. The weight
+/// grows with the gap, up to [`MAX_WEIGHT`], because the earlier samples are out of date.
+const FULL_WEIGHT_GAP_MS: f64 = 1_000.0;
+/// Highest weight of a new sample once there are [`MIN_SAMPLES`].
+const MAX_WEIGHT: f64 = 0.5;
+/// Samples needed before the average is reported. Fewer say more about the requests than about the
+/// target.
+const MIN_SAMPLES: u32 = 4;
+/// Upper bound of one sample, in multiples of the average: at any target a few requests need far
+/// more work than others.
+const MAX_SAMPLE_MULTIPLE: f64 = 4.0;
+/// Lowest average to which [`MAX_SAMPLE_MULTIPLE`] is applied. Times are whole milliseconds, so the
+/// average of a fast target may be 0.
+const MIN_BOUNDED_AVERAGE_MS: f64 = 2.0;
+/// Time without an answer after which the average is discarded, so that a target that was slow is
+/// tried again.
+const AVERAGE_LIFETIME_MS: Millis = 3_000;
+/// A running request that takes this long is reported as the service time of a target without an
+/// average. Well above the time of interactive requests.
 const LONG_REQUEST_MS: Millis = 200;
-/// Time over which utilisation is measured.
-const UTILISATION_MS: f64 = 1_000.0;
-/// Most that a target's open flows are expected to make a request wait, in multiples of its
-/// service time. The formula has no bound near full utilisation, where what is in hand now
-/// tells more.
-const MOST_STEADY_WAIT: f64 = 2.0;
-/// A target without any answer for this long, in multiples of its average, hangs.
-const HANGING_MULTIPLE: f64 = 8.0;
-/// The same in milliseconds, at least: longer than a pause of a target's process.
-const HANGING_MS: f64 = 500.0;
-/// Requests that must run there, if it has as many slots: a single one may be a long one.
-const HANGING_REQUESTS: u32 = 2;
+/// Time constant of the moving average of utilisation, in milliseconds.
+const UTILISATION_TIME_CONSTANT_MS: f64 = 1_000.0;
+/// Upper bound of the wait expected from the load of a target's open flows, in multiples of its
+/// service time. The formula is unbounded near full utilisation, where the current queue says more.
+const MAX_STEADY_WAIT: f64 = 2.0;
+/// A target is stalled when it has not answered for this long, in multiples of its average service
+/// time.
+const STALLED_MULTIPLE: f64 = 8.0;
+/// Lower bound of that time in milliseconds: longer than a pause of the target's process.
+const MIN_STALLED_MS: f64 = 500.0;
+/// Running requests needed to call a target stalled (fewer if it has fewer slots), because a single
+/// one may just take long.
+const MIN_STALLED_REQUESTS: u32 = 2;
 
 /// A moving average of service times.
 #[derive(Clone, Copy, Debug)]
 struct Average {
     ms: f64,
-    answers: u32,
+    samples: u32,
     measured_at: Millis,
 }
 
 impl Average {
     fn first(took_ms: f64, now: Millis) -> Self {
-        Self { ms: took_ms, answers: 1, measured_at: now }
+        Self { ms: took_ms, samples: 1, measured_at: now }
     }
 
-    fn with(self, took_ms: f64, now: Millis) -> Self {
+    fn updated(self, took_ms: f64, now: Millis) -> Self {
         let since_last = now.saturating_sub(self.measured_at) as f64;
-        let few = 1.0 / f64::from(self.answers + 1);
-        let weight = few.max((since_last / MEMORY_MS).clamp(ANSWER_WEIGHT, MOST_WEIGHT));
-        let most = self.ms.max(LEAST_BOUNDED_MS) * MOST_MULTIPLE;
-        let took_ms = if self.is_known() { took_ms.min(most) } else { took_ms };
+        let initial_weight = 1.0 / f64::from(self.samples + 1);
+        let weight =
+            initial_weight.max((since_last / FULL_WEIGHT_GAP_MS).clamp(MIN_WEIGHT, MAX_WEIGHT));
+        let max_sample_ms = self.ms.max(MIN_BOUNDED_AVERAGE_MS) * MAX_SAMPLE_MULTIPLE;
+        let took_ms = if self.is_known() { took_ms.min(max_sample_ms) } else { took_ms };
         Self {
             ms: self.ms + (took_ms - self.ms) * weight,
-            answers: self.answers.saturating_add(1),
+            samples: self.samples.saturating_add(1),
             measured_at: now,
         }
     }
 
     fn is_known(&self) -> bool {
-        self.answers >= FEWEST_ANSWERS
+        self.samples >= MIN_SAMPLES
     }
 }
 
-/// The requests at the target, and what its answers to earlier ones showed.
+/// Requests at the target, and the service time and utilisation measured so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceTime {
-    /// Requests that the target works on at once; nothing is measured until it is known.
+    /// Requests that the target processes concurrently. Nothing is measured until this is known.
     slots: Option<u32>,
-    /// Requests that the target works on, and since when.
+    /// Requests assumed to be running, each with its start time.
     running: Vec<(FlowKey, Millis)>,
-    /// Requests that wait at the target for a slot.
+    /// Requests assumed to wait at the target for a slot.
     queued: VecDeque<FlowKey>,
     average: Option<Average>,
-    /// Part of its slots that were at work, as a moving average.
+    /// Moving average of the share of busy slots.
     utilisation: f64,
     /// When the target last answered.
     answered_at: Millis,
@@ -93,42 +96,42 @@
 }
 
 impl ServiceTime {
-    /// Notes how many requests the target works on at once.
+    /// Sets the number of requests that the target processes concurrently.
     pub(super) fn set_slots(&mut self, slots: u32) {
         self.slots = Some(slots.max(1));
     }
 
-    /// Moves on to a time; what is reported next happens then.
+    /// Advances the clock; subsequent calls report events at this time.
     pub(super) fn advance(&mut self, now: Millis) {
         self.utilisation = self.utilisation_at(now);
         self.now = now.max(self.now);
     }
 
-    /// A request was handed to the target.
-    pub(super) fn delivered(&mut self, flow: FlowKey) {
+    /// Records the delivery of a request to the target.
+    pub(super) fn record_delivery(&mut self, flow: FlowKey) {
         self.queued.push_back(flow);
         self.fill_slots();
     }
 
-    /// The target answered a request.
-    pub(super) fn answered(&mut self, flow: &FlowKey) {
+    /// Records the target's answer to a request.
+    pub(super) fn record_answer(&mut self, flow: &FlowKey) {
         self.answered_at = self.now;
-        if let Some(took) = self.end(flow) {
+        if let Some(took) = self.remove(flow) {
             self.measure(took);
         }
     }
 
-    /// A request ended without an answer that tells how long it takes. It took longer than
-    /// the average if it ran for longer.
-    pub(super) fn withdrawn(&mut self, flow: &FlowKey) {
-        let Some(ran_for) = self.end(flow) else { return };
+    /// Records the end of a request whose duration says nothing about the service time, unless it
+    /// ran longer than the average.
+    pub(super) fn record_abandoned(&mut self, flow: &FlowKey) {
+        let Some(ran_for) = self.remove(flow) else { return };
         if self.average.is_some_and(|average| ran_for as f64 > average.ms) {
             self.measure(ran_for);
         }
     }
 
-    /// What balancers are told, with `waiting` requests in hand and first requests of
-    /// `expected` more flows to come.
+    /// Returns the load to report to balancers, for `waiting` unanswered requests and `expected`
+    /// flows whose first requests are still to come.
     pub(super) fn load(&self, waiting: u32, expected: u32, now: Millis) -> TargetLoad {
         let times = self.slots.zip(self.service_ms(now));
         let Some((slots, service_ms)) = times else { return waiting.into() };
@@ -144,29 +147,30 @@
         }
     }
 
-    /// Whether the target answered nothing for far longer than a request takes.
-    pub(super) fn hangs(&self, now: Millis) -> bool {
+    /// Whether the target has not answered for far longer than a request takes.
+    pub(super) fn is_stalled(&self, now: Millis) -> bool {
         let average = self.average.filter(Average::is_known);
         let oldest = self.running.iter().map(|(_, since)| *since).min();
         let Some((average, oldest)) = average.zip(oldest) else { return false };
-        let enough = self.slots.map_or(HANGING_REQUESTS, |slots| slots.min(HANGING_REQUESTS));
-        if self.running.len() < enough as usize {
+        let required =
+            self.slots.map_or(MIN_STALLED_REQUESTS, |slots| slots.min(MIN_STALLED_REQUESTS));
+        if self.running.len() < required as usize {
             return false;
         }
         let silent_for = now.saturating_sub(oldest.max(self.answered_at)) as f64;
-        silent_for >= (average.ms * HANGING_MULTIPLE).max(HANGING_MS)
+        silent_for >= (average.ms * STALLED_MULTIPLE).max(MIN_STALLED_MS)
     }
 
-    /// The average, where requests that already run for longer count as if they were
-    /// answered now: a target that hangs is seen without an answer.
+    /// Returns the average, raised by running requests that already exceed it as if they were
+    /// answered now. This reveals a stalled target without an answer from it.
     fn service_ms(&self, now: Millis) -> Option<f64> {
         let running_for = self.running.iter().map(|(_, since)| now.saturating_sub(*since));
-        let fresh = self.average.filter(|average| !is_aged(average, now));
+        let fresh = self.average.filter(|average| !is_expired(average, now));
         let Some(average) = fresh.filter(Average::is_known) else {
             let longest = running_for.max().filter(|longest| *longest >= LONG_REQUEST_MS);
             return longest.map(|longest| longest as f64);
         };
-        let raise = |ms: f64, ran_for: Millis| ms + (ran_for as f64 - ms).max(0.0) * ANSWER_WEIGHT;
+        let raise = |ms: f64, ran_for: Millis| ms + (ran_for as f64 - ms).max(0.0) * MIN_WEIGHT;
         Some(running_for.fold(average.ms, raise))
     }
 
@@ -174,22 +178,22 @@
         if self.slots.is_none() {
             return;
         }
-        let fresh = self.average.filter(|average| !is_aged(average, self.now));
+        let fresh = self.average.filter(|average| !is_expired(average, self.now));
         self.average = Some(match fresh {
-            Some(average) => average.with(took as f64, self.now),
+            Some(average) => average.updated(took as f64, self.now),
             None => Average::first(took as f64, self.now),
         });
     }
 
-    /// Takes out a request. Returns for how long the target worked on it.
-    fn end(&mut self, flow: &FlowKey) -> Option<Millis> {
+    /// Removes a request. Returns how long it ran.
+    fn remove(&mut self, flow: &FlowKey) -> Option<Millis> {
         if let Some(place) = self.running.iter().position(|(running, _)| running == flow) {
             let (_, since) = self.running.swap_remove(place);
             self.fill_slots();
             return Some(self.now.saturating_sub(since));
         }
-        // The target works on requests in another order: one that is taken to run has
-        // not begun. Its time goes to the one that ended.
+        // The target uses another order: a request that was assumed to run has not started. Its
+        // running time is attributed to the one that ended.
         let place = self.queued.iter().position(|queued| queued == flow)?;
         self.queued.remove(place);
         let latest = self.running.iter_mut().max_by_key(|(_, since)| *since)?;
@@ -208,27 +212,27 @@
 
     fn utilisation_at(&self, now: Millis) -> f64 {
         let slots = f64::from(self.slots.unwrap_or(u32::MAX));
-        let at_work = (self.running.len() as f64 / slots).min(1.0);
+        let busy_share = (self.running.len() as f64 / slots).min(1.0);
         let elapsed = now.saturating_sub(self.now) as f64;
-        let kept = (-elapsed / UTILISATION_MS).exp();
-        at_work + (self.utilisation - at_work) * kept
+        let decay = (-elapsed / UTILISATION_TIME_CONSTANT_MS).exp();
+        busy_share + (self.utilisation - busy_share) * decay
     }
 }
 
-fn is_aged(average: &Average, now: Millis) -> bool {
-    now.saturating_sub(average.measured_at) >= AGED_MS
+fn is_expired(average: &Average, now: Millis) -> bool {
+    now.saturating_sub(average.measured_at) >= AVERAGE_LIFETIME_MS
 }
 
-/// Mean wait at a queue with several servers, in multiples of the service time (Sakasegawa's
-/// approximation for M/M/k). What was asked of the target in the last second was asked on
-/// flows that are open still for the most part, and cannot be moved.
+/// Mean wait in a queue with several servers, in multiples of the service time (Sakasegawa's
+/// approximation for M/M/k). Most of the load of the last second came from flows that are still
+/// open and cannot be moved.
 fn steady_wait(utilisation: f64, slots: f64) -> f64 {
     let exponent = (2.0 * (slots + 1.0)).sqrt() - 1.0;
     let wait = utilisation.powf(exponent) / (slots * (1.0 - utilisation));
-    wait.min(MOST_STEADY_WAIT)
+    wait.min(MAX_STEADY_WAIT)
 }
 
-/// At least a millisecond; a cast of a float saturates at the bounds of the integer.
+/// Rounds to whole milliseconds, at least 1. Float-to-integer casts saturate.
 fn whole_ms(ms: f64) -> u32 {
     ms.round().max(1.0) as u32
 }
--- a/crates/steering/src/agent/tracking.rs
+++ b/crates/steering/src/agent/tracking.rs
@@ -1,5 +1,4 @@
-//! What an agent follows of each flow: requests that wait, and first requests that are
-//! expected.
+//! Tracks the requests and the expected first requests of each flow.
 
 use std::net::Ipv4Addr;
 
@@ -11,38 +10,38 @@
 use crate::packet::{FlowKey, PacketHead};
 
 impl Agent {
-    /// How busy the target is, for balancers.
+    /// Returns the target's load, as reported to balancers.
     pub fn load(&self, now: Millis) -> TargetLoad {
-        self.service_time.load(self.waiting, self.expected + self.grants.kept(), now)
+        self.service_time.load(self.waiting, self.expected + self.grants.reserved(), now)
     }
 
-    /// Requests in hand, those that admitted flows are about to bring, and room kept for
-    /// balancers.
-    pub(super) fn requests_in_hand(&self) -> u32 {
-        self.waiting + self.expected + self.grants.kept()
+    /// In-flight requests, plus those that admitted flows and outstanding grants are about to
+    /// bring.
+    pub(super) fn committed_requests(&self) -> u32 {
+        self.waiting + self.expected + self.grants.reserved()
     }
 
-    pub(super) fn drop_expectations(&mut self, now: Millis) {
-        while let Some((until, flow)) = self.expectations.front().copied() {
+    pub(super) fn expire_expected(&mut self, now: Millis) {
+        while let Some((until, flow)) = self.expected_until.front().copied() {
             if until > now {
                 return;
             }
-            self.expectations.pop_front();
-            self.fulfil(&flow);
+            self.expected_until.pop_front();
+            self.clear_expected(&flow);
         }
     }
 
-    /// Measures how long a flow that was admitted took to bring its first request. One that
-    /// came too late to be expected counts as well: the wait was too short for it.
-    pub(super) fn note_first_request(&mut self, flow: &FlowKey, now: Millis) {
+    /// Measures the time from the admission of a flow to its first request. A request that arrives
+    /// after its timeout counts as well, because it shows that the timeout was too short.
+    pub(super) fn record_first_request(&mut self, flow: &FlowKey, now: Millis) {
         let entry = self.flows.get_mut(flow);
         if let Some(admitted_at) = entry.and_then(|entry| entry.admitted_at.take()) {
-            self.round_trip.note(now.saturating_sub(admitted_at));
+            self.round_trip.record(now.saturating_sub(admitted_at));
         }
     }
 
-    /// A flow's first request came, or is no longer expected.
-    pub(super) fn fulfil(&mut self, flow: &FlowKey) {
+    /// Stops expecting the first request of a flow: it arrived, or its timeout has passed.
+    pub(super) fn clear_expected(&mut self, flow: &FlowKey) {
         if let Some(flow) = self.flows.get_mut(flow)
             && std::mem::take(&mut flow.expected)
         {
@@ -50,7 +49,7 @@
         }
     }
 
-    pub(super) fn follow(
+    pub(super) fn track(
         &mut self,
         head: &PacketHead,
         packet: &[u8],
@@ -62,14 +61,14 @@
         let is_new = !self.flows.contains_key(&flow);
         if is_new && self.flows.len() >= FLOW_CAPACITY {
             if !searched {
-                self.former.unfollow(&flow, now);
+                self.former.record_untracked(&flow, now);
             }
             return;
         }
         self.service_time.advance(now);
         let is_expected = is_new && head.is_opening();
         if is_expected {
-            self.cold_start.admitted(now);
+            self.cold_start.record_admission(now);
         }
         let entry = self.flows.entry(flow).or_insert(Flow {
             balancer,
@@ -85,37 +84,37 @@
         });
         entry.balancer = balancer;
         entry.used_at = now;
-        entry.keep_latest(head, packet);
+        entry.update_latest(head, packet);
         if searched && entry.searched_since.is_none() {
             entry.searched_since = Some(now);
             if self.searches.len() < SEARCH_CAPACITY {
                 self.searches.push_back((now, flow));
             }
         }
-        if entry.takes_new_data(head) && entry.waiting_since.is_none() {
+        if entry.record_data(head) && entry.waiting_since.is_none() {
             entry.waiting_since = Some(now);
             self.waiting += 1;
-            self.service_time.delivered(flow);
+            self.service_time.record_delivery(flow);
         }
         if is_expected {
             self.expected += 1;
-            let until = now + self.round_trip.expected_within();
-            self.expectations.push_back((until, flow));
+            let until = now + self.round_trip.timeout();
+            self.expected_until.push_back((until, flow));
         }
         if head.length > 0 {
-            self.note_first_request(&flow, now);
-            self.fulfil(&flow);
+            self.record_first_request(&flow, now);
+            self.clear_expected(&flow);
         }
         if head.flags.rst {
-            self.forget(&flow);
+            self.untrack(&flow);
         }
     }
 
-    pub(super) fn forget(&mut self, flow: &FlowKey) {
-        self.fulfil(flow);
+    pub(super) fn untrack(&mut self, flow: &FlowKey) {
+        self.clear_expected(flow);
         if self.flows.remove(flow).is_some_and(|flow| flow.waiting_since.is_some()) {
             self.waiting -= 1;
-            self.service_time.withdrawn(flow);
+            self.service_time.record_abandoned(flow);
         }
     }
 }
