--- a/crates/steering/tests/accounting.rs
+++ b/crates/steering/tests/accounting.rs
@@ -1,34 +1,34 @@
-//! What becomes of openings and answers, whatever comes in between: an opening is handed
-//! to the target or sent back, never both, and what a target wrote is passed on.
+//! Every opening packet is either delivered to the target or returned, never both, and every answer
+//! of the target is forwarded.
 
 mod support;
 
 use std::collections::HashMap;
 
 use proptest::prelude::*;
-use support::beside::{answer, arrival, new_agent, request};
+use support::agent_fixture::{answer, arrival, new_agent, request};
 use support::{flow, opening};
 use weirhinge_steering::{
     Agent, Arrival, DeliveryDecision, OutputDecision, PacketHead, WaitOutcome, WaitedOpening,
 };
 
-/// Longer than any opening waits, with the time between two looks.
-const AFTER_ALL_WAITS_MS: u64 = 1_200;
+/// Longer than any opening waits, plus the interval between two polls.
+const PAST_LONGEST_WAIT_MS: u64 = 1_200;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A client opens a flow or sends a copy of its opening packet.
+    /// A client sends an opening packet or a copy of it.
     Opening { port: u16, copy: bool, urgent: bool, may_wait: bool },
     /// A client sends a request on an open flow.
     Request { port: u16 },
     /// The target answers.
     Answer { port: u16 },
-    /// The size of the target becomes known or changes.
+    /// The target's slot count becomes known or changes.
     Slots(u32),
-    /// Time goes by.
-    Pass(u64),
-    /// Waiting openings are looked at.
-    Look,
+    /// Time passes.
+    Advance(u64),
+    /// The agent is polled for outcomes of waiting openings.
+    Poll,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -40,35 +40,35 @@
         2 => port.clone().prop_map(|port| Step::Request { port }),
         2 => port.prop_map(|port| Step::Answer { port }),
         1 => (1..9_u32).prop_map(Step::Slots),
-        2 => (1..400_u64).prop_map(Step::Pass),
-        2 => Just(Step::Look),
+        2 => (1..400_u64).prop_map(Step::Advance),
+        2 => Just(Step::Poll),
     ]
 }
 
-/// Counts what became of each flow's openings.
+/// Records the outcomes of each flow's openings.
 #[derive(Default)]
 struct Outcomes {
-    handed_over: HashMap<u16, u32>,
-    returned_after: Vec<u16>,
+    delivered: HashMap<u16, u32>,
+    returned_after_delivery: Vec<u16>,
 }
 
 impl Outcomes {
-    fn hand_over(&mut self, head: &PacketHead) {
-        *self.handed_over.entry(head.source.port()).or_default() += 1;
+    fn record_delivery(&mut self, head: &PacketHead) {
+        *self.delivered.entry(head.source.port()).or_default() += 1;
     }
 
-    fn send_back(&mut self, opening: &WaitedOpening) {
+    fn record_return(&mut self, opening: &WaitedOpening) {
         let port = opening.head.source.port();
-        if self.handed_over.contains_key(&port) {
-            self.returned_after.push(port);
+        if self.delivered.contains_key(&port) {
+            self.returned_after_delivery.push(port);
         }
     }
 
-    fn look(&mut self, beside: &mut Agent, now: u64) {
-        while let Some(outcome) = beside.next_outcome(now) {
+    fn poll(&mut self, agent: &mut Agent, now: u64) {
+        while let Some(outcome) = agent.next_outcome(now) {
             match outcome {
-                WaitOutcome::Deliver(opening, _) => self.hand_over(&opening.head),
-                WaitOutcome::Return(opening, _) => self.send_back(&opening),
+                WaitOutcome::Deliver(opening, _) => self.record_delivery(&opening.head),
+                WaitOutcome::Return(opening, _) => self.record_return(&opening),
             }
         }
     }
@@ -76,10 +76,10 @@
 
 proptest! {
     #[test]
-    fn an_opening_is_handed_over_or_sent_back_but_not_both(
+    fn opening_is_delivered_or_returned_but_not_both(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let mut beside = new_agent();
+        let mut agent = new_agent();
         let mut outcomes = Outcomes::default();
         let mut now = 0;
         for step in steps {
@@ -87,58 +87,58 @@
                 Step::Opening { port, copy, urgent, may_wait } => {
                     let head = PacketHead { acknowledgment: copy.into(), ..opening(flow(port)) };
                     let arrival = Arrival { urgent, may_wait, ..arrival(&head) };
-                    match beside.delivery(&arrival, now) {
-                        DeliveryDecision::Deliver { .. } => outcomes.hand_over(&head),
+                    match agent.delivery(&arrival, now) {
+                        DeliveryDecision::Deliver { .. } => outcomes.record_delivery(&head),
                         DeliveryDecision::Wait { displaced: Some(displaced) } => {
-                            outcomes.send_back(&displaced);
+                            outcomes.record_return(&displaced);
                         }
                         _ => {}
                     }
                 }
                 Step::Request { port } => {
-                    beside.delivery(&arrival(&request(port, 1_000)), now);
+                    agent.delivery(&arrival(&request(port, 1_000)), now);
                 }
                 Step::Answer { port } => {
-                    let decision = beside.output(&answer(flow(port)), now);
-                    let passed_on = matches!(decision, OutputDecision::ToClient { .. });
-                    prop_assert!(passed_on, "{decision:?}");
+                    let decision = agent.output(&answer(flow(port)), now);
+                    let forwarded = matches!(decision, OutputDecision::ToClient { .. });
+                    prop_assert!(forwarded, "{decision:?}");
                 }
-                Step::Slots(slots) => beside.set_slots(slots),
-                Step::Pass(time) => now += time,
-                Step::Look => outcomes.look(&mut beside, now),
+                Step::Slots(slots) => agent.set_slots(slots),
+                Step::Advance(time) => now += time,
+                Step::Poll => outcomes.poll(&mut agent, now),
             }
         }
-        outcomes.look(&mut beside, now + AFTER_ALL_WAITS_MS);
-        prop_assert!(outcomes.returned_after.is_empty(), "{:?}", outcomes.returned_after);
+        outcomes.poll(&mut agent, now + PAST_LONGEST_WAIT_MS);
+        prop_assert!(outcomes.returned_after_delivery.is_empty(), "{:?}", outcomes.returned_after_delivery);
     }
 }
 
-/// Nothing is dropped for being late: clients decide whether they still wait.
+/// Answers are never dropped for being late: clients decide how long they wait.
 #[test]
-fn an_answer_is_passed_on_however_late_it_comes() {
-    let mut beside = new_agent();
-    beside.delivery(&arrival(&request(1, 0)), 0);
+fn late_answer_is_forwarded() {
+    let mut agent = new_agent();
+    agent.delivery(&arrival(&request(1, 0)), 0);
     for now in [100, 5_000, 70_000, 200_000] {
-        beside.expire(now);
-        let decision = beside.output(&answer(flow(1)), now);
+        agent.expire(now);
+        let decision = agent.output(&answer(flow(1)), now);
         assert!(matches!(decision, OutputDecision::ToClient { .. }), "{now}: {decision:?}");
     }
 }
 
-/// An opening is never kept for longer than its client waits: it gets its answer while
-/// the client can still try elsewhere.
+/// No opening waits longer than its client: it is returned while the client can still try another
+/// target.
 #[test]
-fn every_waiting_opening_has_its_outcome_before_its_client_gives_up() {
-    let mut beside = new_agent();
+fn waiting_openings_are_returned_before_clients_give_up() {
+    let mut agent = new_agent();
     for port in 0..20 {
-        beside.delivery(&arrival(&request(port, 0)), 0);
+        agent.delivery(&arrival(&request(port, 0)), 0);
     }
     for port in 100..150 {
         let head = opening(flow(port));
-        beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+        agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
     }
     let mut returned = 0;
-    while let Some(outcome) = beside.next_outcome(AFTER_ALL_WAITS_MS) {
+    while let Some(outcome) = agent.next_outcome(PAST_LONGEST_WAIT_MS) {
         assert!(matches!(outcome, WaitOutcome::Return(_, _)), "{outcome:?}");
         returned += 1;
     }
--- a/crates/steering/tests/agent.rs
+++ b/crates/steering/tests/agent.rs
@@ -1,9 +1,9 @@
-//! The agent's decisions: the check of the service, bounces, requests, notices.
+//! The agent's decisions about service checks, bounces, requests and notices.
 
 mod support;
 
-use support::beside::{answer, arrival, deliver, fill, new_agent, output, request};
-use support::{OTHER, SERVICE, agent, data, flow, opening, packet};
+use support::agent_fixture::{answer, arrival, deliver, fill, new_agent, output, request};
+use support::{OTHER, SERVICE, agent as address, data, flow, opening, packet};
 use weirhinge_fleet::{ReturnReason, SearchPath, ServiceId};
 use weirhinge_steering::{
     Agent, Arrival, DeliveryDecision, Flags, HoldsNotice, OutputDecision, OutputDrop, PacketHead,
@@ -11,25 +11,25 @@
 };
 
 #[test]
-fn an_opening_packet_for_another_service_goes_back() {
-    let mut beside = new_agent();
+fn opening_for_another_service_is_returned() {
+    let mut agent = new_agent();
     let head = opening(flow(1));
     let wrong = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
     let returned = DeliveryDecision::Return(ReturnReason::OtherService);
-    assert_eq!(beside.delivery(&wrong, 0), returned);
-    // A later packet is the target's to judge.
+    assert_eq!(agent.delivery(&wrong, 0), returned);
+    // Whether to accept a later packet is up to the target.
     let head = data(flow(1));
     let later = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
-    assert!(matches!(beside.delivery(&later, 0), DeliveryDecision::Deliver { .. }));
+    assert!(matches!(agent.delivery(&later, 0), DeliveryDecision::Deliver { .. }));
 }
 
 #[test]
-fn a_bounced_packet_finds_the_balancer_that_sent_it() {
-    let mut beside = new_agent();
-    let first = deliver(&mut beside, &data(flow(1)), 0);
+fn bounced_packet_is_returned_to_its_balancer() {
+    let mut agent = new_agent();
+    let first = deliver(&mut agent, &data(flow(1)), 0);
     let head = data(flow(2));
-    let second = Arrival { balancer: agent(101), ..arrival(&head) };
-    let DeliveryDecision::Deliver { echo: second, .. } = beside.delivery(&second, 0) else {
+    let second = Arrival { balancer: address(101), ..arrival(&head) };
+    let DeliveryDecision::Deliver { echo: second, .. } = agent.delivery(&second, 0) else {
         panic!("expected a delivery");
     };
     let bounced = |port, echo| {
@@ -37,38 +37,38 @@
         PacketHead { echo, ..packet(flow(port), flags, 100) }
     };
     let back = |balancer| OutputDecision::Return { balancer, granted: false };
-    assert_eq!(beside.output(&bounced(1, first), 1), back(agent(100)));
-    assert_eq!(beside.output(&bounced(2, second), 1), back(agent(101)));
+    assert_eq!(agent.output(&bounced(1, first), 1), back(address(100)));
+    assert_eq!(agent.output(&bounced(2, second), 1), back(address(101)));
     let unknown = OutputDecision::Drop(OutputDrop::UnknownDelivery);
-    assert_eq!(beside.output(&bounced(3, 999_999), 1), unknown);
-    assert_eq!(beside.output(&bounced(3, 0), 1), unknown);
-    assert_eq!(beside.waiting(), 0, "what bounced does not wait");
+    assert_eq!(agent.output(&bounced(3, 999_999), 1), unknown);
+    assert_eq!(agent.output(&bounced(3, 0), 1), unknown);
+    assert_eq!(agent.waiting(), 0, "bounced packets are not counted");
 }
 
 #[test]
-fn labels_of_forgotten_deliveries_are_not_mixed_up() {
-    let mut beside = new_agent();
-    let first = deliver(&mut beside, &data(flow(1)), 0);
+fn echo_label_of_evicted_delivery_is_unknown() {
+    let mut agent = new_agent();
+    let first = deliver(&mut agent, &data(flow(1)), 0);
     for _ in 0..5_000 {
-        deliver(&mut beside, &data(flow(2)), 0);
+        deliver(&mut agent, &data(flow(2)), 0);
     }
     let flags = Flags { bounced: true, ..Flags::default() };
     let late = PacketHead { echo: first, ..packet(flow(1), flags, 0) };
-    assert_eq!(beside.output(&late, 1), OutputDecision::Drop(OutputDrop::UnknownDelivery));
+    assert_eq!(agent.output(&late, 1), OutputDecision::Drop(OutputDrop::UnknownDelivery));
 }
 
 #[test]
-fn the_answer_to_an_opening_packet_is_told_to_the_balancer() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &opening(flow(1)), 0);
+fn balancer_is_notified_of_answer_to_opening() {
+    let mut agent = new_agent();
+    deliver(&mut agent, &opening(flow(1)), 0);
     let syn_ack = output(flow(1), Flags { syn: true, ack: true, ..Flags::default() }, 0);
-    let notice = HoldsNotice { balancer: agent(100), flow: flow(1), confirmed: false };
-    assert_eq!(beside.output(&syn_ack, 1), OutputDecision::ToClient { notice: Some(notice) });
-    deliver(&mut beside, &data(flow(1)), 2);
-    assert_eq!(beside.output(&answer(flow(1)), 3), OutputDecision::ToClient { notice: None });
+    let notice = HoldsNotice { balancer: address(100), flow: flow(1), confirmed: false };
+    assert_eq!(agent.output(&syn_ack, 1), OutputDecision::ToClient { notice: Some(notice) });
+    deliver(&mut agent, &data(flow(1)), 2);
+    assert_eq!(agent.output(&answer(flow(1)), 3), OutputDecision::ToClient { notice: None });
 }
 
-/// What the agent tells a balancer that searches for the packet's flow.
+/// Returns the agent's immediate answer to a search for the packet's flow.
 fn search(agent: &mut Agent, head: &PacketHead, now: u64) -> Option<HoldsNotice> {
     match agent.delivery(&Arrival { search: Some(&[]), ..arrival(head) }, now) {
         DeliveryDecision::Deliver { notice, .. } => notice,
@@ -77,172 +77,175 @@
 }
 
 #[test]
-fn a_search_for_a_held_flow_is_answered_before_the_target_answers() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &opening(flow(1)), 0);
-    deliver(&mut beside, &request(1, 1), 10);
-    let notice = search(&mut beside, &request(1, 2), 20);
-    assert_eq!(notice, Some(HoldsNotice { balancer: agent(100), flow: flow(1), confirmed: true }));
-    // Known for what the target wrote, too; the flow was not seen to open here.
-    let mut started_again = new_agent();
-    assert_eq!(search(&mut started_again, &request(1, 2), 0), None);
-    started_again.output(&answer(flow(1)), 5);
-    assert!(search(&mut started_again, &request(1, 3), 10).is_some());
-}
-
-#[test]
-fn a_search_for_a_flow_that_may_not_be_held_is_left_to_the_target() {
-    let mut beside = new_agent();
-    assert_eq!(search(&mut beside, &request(1, 1), 0), None);
-    // The first packet's bounce may still be on its way.
-    assert_eq!(search(&mut beside, &request(1, 1), 1), None);
-    // An opened flow may have been taken by another target.
-    deliver(&mut beside, &opening(flow(2)), 2);
-    assert_eq!(search(&mut beside, &request(2, 1), 3), None);
+fn search_for_held_flow_is_answered_immediately() {
+    let mut agent = new_agent();
+    deliver(&mut agent, &opening(flow(1)), 0);
+    deliver(&mut agent, &request(1, 1), 10);
+    let notice = search(&mut agent, &request(1, 2), 20);
+    assert_eq!(
+        notice,
+        Some(HoldsNotice { balancer: address(100), flow: flow(1), confirmed: true })
+    );
+    // Also known from a packet that the target sent, without having seen the flow open.
+    let mut restarted = new_agent();
+    assert_eq!(search(&mut restarted, &request(1, 2), 0), None);
+    restarted.output(&answer(flow(1)), 5);
+    assert!(search(&mut restarted, &request(1, 3), 10).is_some());
+}
+
+#[test]
+fn search_for_uncertain_flow_is_left_to_the_target() {
+    let mut agent = new_agent();
+    assert_eq!(search(&mut agent, &request(1, 1), 0), None);
+    // The first packet's bounce may still be in flight.
+    assert_eq!(search(&mut agent, &request(1, 1), 1), None);
+    // A flow opened here may be held by another target.
+    deliver(&mut agent, &opening(flow(2)), 2);
+    assert_eq!(search(&mut agent, &request(2, 1), 3), None);
     // A bounce shows that the target lost the flow.
-    deliver(&mut beside, &opening(flow(3)), 4);
-    let echo = deliver(&mut beside, &request(3, 1), 5);
+    deliver(&mut agent, &opening(flow(3)), 4);
+    let echo = deliver(&mut agent, &request(3, 1), 5);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    beside.output(&PacketHead { echo, ..packet(flow(3), bounced, 0) }, 6);
-    assert_eq!(search(&mut beside, &request(3, 1), 7), None);
+    agent.output(&PacketHead { echo, ..packet(flow(3), bounced, 0) }, 6);
+    assert_eq!(search(&mut agent, &request(3, 1), 7), None);
 }
 
 #[test]
-fn a_searching_packet_goes_on_to_the_next_agent_and_back_from_the_last() {
-    let mut beside = new_agent();
-    let next = [agent(2).to_bits(), agent(3).to_bits()];
+fn bounced_search_visits_next_agents_then_returns() {
+    let mut agent = new_agent();
+    let next = [address(2).to_bits(), address(3).to_bits()];
     let head = request(1, 1);
     let bounce = |echo| PacketHead {
         echo,
         ..packet(flow(1), Flags { bounced: true, ..Flags::default() }, 0)
     };
     let arriving = Arrival { search: Some(&next), ..arrival(&head) };
-    let DeliveryDecision::Deliver { echo, .. } = beside.delivery(&arriving, 0) else {
+    let DeliveryDecision::Deliver { echo, .. } = agent.delivery(&arriving, 0) else {
         panic!("expected a delivery");
     };
-    let path = SearchPath { balancer: agent(100).to_bits(), next: vec![agent(3).to_bits()] };
-    let passed_on = OutputDecision::PassOn { agent: agent(2), path };
-    assert_eq!(beside.output(&bounce(echo), 1), passed_on);
-    // A bounce that comes twice goes nowhere the second time.
+    let path = SearchPath { balancer: address(100).to_bits(), next: vec![address(3).to_bits()] };
+    let passed_on = OutputDecision::PassOn { agent: address(2), path };
+    assert_eq!(agent.output(&bounce(echo), 1), passed_on);
+    // A duplicated bounce is dropped.
     let unknown = OutputDecision::Drop(OutputDrop::UnknownDelivery);
-    assert_eq!(beside.output(&bounce(echo), 2), unknown);
+    assert_eq!(agent.output(&bounce(echo), 2), unknown);
     let last = Arrival { search: Some(&[]), ..arrival(&head) };
-    let DeliveryDecision::Deliver { echo, .. } = beside.delivery(&last, 3) else {
+    let DeliveryDecision::Deliver { echo, .. } = agent.delivery(&last, 3) else {
         panic!("expected a delivery");
     };
-    let back = OutputDecision::Return { balancer: agent(100), granted: false };
-    assert_eq!(beside.not_taken(&flow(1), echo), back);
+    let back = OutputDecision::Return { balancer: address(100), granted: false };
+    assert_eq!(agent.not_taken(&flow(1), echo), back);
 }
 
 #[test]
-fn a_searched_flow_is_found_when_the_target_wrote_and_did_not_bounce() {
-    let mut beside = new_agent();
-    search(&mut beside, &request(1, 1), 100);
-    let found = HoldsNotice { balancer: agent(100), flow: flow(1), confirmed: true };
-    // The target may not have seen the packet yet.
-    beside.output(&answer(flow(9)), 101);
-    assert_eq!(beside.next_found(135), None);
-    beside.output(&answer(flow(9)), 136);
-    assert_eq!(beside.next_found(137), Some(found));
-    assert_eq!(beside.next_found(138), None);
+fn searched_flow_is_found_if_target_processed_it_without_bounce() {
+    let mut agent = new_agent();
+    search(&mut agent, &request(1, 1), 100);
+    let found = HoldsNotice { balancer: address(100), flow: flow(1), confirmed: true };
+    // The target may not have processed the packet yet.
+    agent.output(&answer(flow(9)), 101);
+    assert_eq!(agent.next_found(135), None);
+    agent.output(&answer(flow(9)), 136);
+    assert_eq!(agent.next_found(137), Some(found));
+    assert_eq!(agent.next_found(138), None);
 }
 
 #[test]
-fn a_searched_flow_is_not_found_when_it_bounced_or_the_target_stands_still() {
-    let mut beside = new_agent();
-    search(&mut beside, &request(1, 1), 100);
+fn searched_flow_is_not_found_after_bounce_or_while_target_stalls() {
+    let mut agent = new_agent();
+    search(&mut agent, &request(1, 1), 100);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    beside.output(&PacketHead { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
-    assert_eq!(beside.next_found(200), None);
-    // Searched for again, its new packet has its own time to bounce.
-    search(&mut beside, &request(1, 1), 200);
-    beside.output(&answer(flow(9)), 210);
-    assert_eq!(beside.next_found(229), None);
-    let mut still = new_agent();
-    search(&mut still, &request(1, 1), 100);
-    assert_eq!(still.next_found(240), None);
-    still.output(&answer(flow(9)), 241);
-    assert_eq!(still.next_found(300), None);
-}
-
-#[test]
-fn a_flow_that_was_searched_for_is_confirmed_once() {
-    let mut beside = new_agent();
+    agent.output(&PacketHead { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
+    assert_eq!(agent.next_found(200), None);
+    // A new search has a bounce timeout of its own.
+    search(&mut agent, &request(1, 1), 200);
+    agent.output(&answer(flow(9)), 210);
+    assert_eq!(agent.next_found(229), None);
+    let mut stalled = new_agent();
+    search(&mut stalled, &request(1, 1), 100);
+    assert_eq!(stalled.next_found(240), None);
+    stalled.output(&answer(flow(9)), 241);
+    assert_eq!(stalled.next_found(300), None);
+}
+
+#[test]
+fn searched_flow_is_confirmed_once() {
+    let mut agent = new_agent();
     let head = data(flow(1));
-    beside.delivery(&Arrival { search: Some(&[]), ..arrival(&head) }, 0);
-    let notice = HoldsNotice { balancer: agent(100), flow: flow(1), confirmed: true };
-    let told = OutputDecision::ToClient { notice: Some(notice) };
-    assert_eq!(beside.output(&answer(flow(1)), 1), told);
-    assert_eq!(beside.output(&answer(flow(1)), 2), OutputDecision::ToClient { notice: None });
+    agent.delivery(&Arrival { search: Some(&[]), ..arrival(&head) }, 0);
+    let notice = HoldsNotice { balancer: address(100), flow: flow(1), confirmed: true };
+    let notified = OutputDecision::ToClient { notice: Some(notice) };
+    assert_eq!(agent.output(&answer(flow(1)), 1), notified);
+    assert_eq!(agent.output(&answer(flow(1)), 2), OutputDecision::ToClient { notice: None });
 }
 
 #[test]
-fn requests_wait_until_their_first_answer() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &request(1, 0), 0);
-    deliver(&mut beside, &request(1, 100), 0);
-    deliver(&mut beside, &request(2, 0), 0);
-    assert_eq!(beside.waiting(), 2);
-    beside.output(&answer(flow(1)), 10);
-    assert_eq!(beside.waiting(), 1);
-    beside.output(&output(flow(2), Flags { rst: true, ..Flags::default() }, 0), 10);
-    assert_eq!(beside.waiting(), 0);
+fn requests_count_until_their_first_answer() {
+    let mut agent = new_agent();
+    deliver(&mut agent, &request(1, 0), 0);
+    deliver(&mut agent, &request(1, 100), 0);
+    deliver(&mut agent, &request(2, 0), 0);
+    assert_eq!(agent.waiting(), 2);
+    agent.output(&answer(flow(1)), 10);
+    assert_eq!(agent.waiting(), 1);
+    agent.output(&output(flow(2), Flags { rst: true, ..Flags::default() }, 0), 10);
+    assert_eq!(agent.waiting(), 0);
 }
 
-/// A client that did not hear of an acknowledgment sends data again; counting it
-/// as a request made targets look busy for good.
+/// Guards against counting retransmitted data as a request, which made targets look busy forever. A
+/// client that missed an acknowledgment sends its data again.
 #[test]
-fn data_sent_again_after_its_answer_is_no_new_request() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &request(1, 0), 0);
-    beside.output(&answer(flow(1)), 10);
-    deliver(&mut beside, &request(1, 0), 20);
-    assert_eq!(beside.waiting(), 0);
-    deliver(&mut beside, &request(1, 100), 30);
-    assert_eq!(beside.waiting(), 1);
+fn retransmitted_data_is_not_a_new_request() {
+    let mut agent = new_agent();
+    deliver(&mut agent, &request(1, 0), 0);
+    agent.output(&answer(flow(1)), 10);
+    deliver(&mut agent, &request(1, 0), 20);
+    assert_eq!(agent.waiting(), 0);
+    deliver(&mut agent, &request(1, 100), 30);
+    assert_eq!(agent.waiting(), 1);
 }
 
 #[test]
 fn sequence_numbers_wrap() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &request(1, u32::MAX - 50), 0);
-    beside.output(&answer(flow(1)), 10);
-    deliver(&mut beside, &request(1, 49), 20);
-    assert_eq!(beside.waiting(), 1);
+    let mut agent = new_agent();
+    deliver(&mut agent, &request(1, u32::MAX - 50), 0);
+    agent.output(&answer(flow(1)), 10);
+    deliver(&mut agent, &request(1, 49), 20);
+    assert_eq!(agent.waiting(), 1);
 }
 
 #[test]
-fn a_request_whose_answer_was_not_seen_stops_counting() {
-    let mut beside = new_agent();
-    deliver(&mut beside, &request(1, 0), 0);
-    beside.expire(2_000);
-    assert_eq!(beside.waiting(), 1);
-    beside.expire(3_000);
-    assert_eq!(beside.waiting(), 0);
-    beside.expire(70_000);
-    assert_eq!((beside.waiting(), beside.flow_count()), (0, 0));
+fn unanswered_request_stops_counting_after_timeout() {
+    let mut agent = new_agent();
+    deliver(&mut agent, &request(1, 0), 0);
+    agent.expire(2_000);
+    assert_eq!(agent.waiting(), 1);
+    agent.expire(3_000);
+    assert_eq!(agent.waiting(), 0);
+    agent.expire(70_000);
+    assert_eq!((agent.waiting(), agent.flow_count()), (0, 0));
 }
 
 #[test]
-fn a_stopping_agent_takes_no_new_flow_and_keeps_its_own() {
-    let mut beside = new_agent();
-    fill(&mut beside);
+fn stopping_agent_rejects_new_flows_and_keeps_open_ones() {
+    let mut agent = new_agent();
+    fill(&mut agent);
     let head = opening(flow(50));
-    beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
-    beside.leave();
+    agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+    agent.leave();
     let leaving = DeliveryDecision::Return(ReturnReason::Leaving);
-    assert_eq!(beside.delivery(&arrival(&opening(flow(9))), 1), leaving);
-    assert!(matches!(beside.next_outcome(1), Some(WaitOutcome::Return(_, ReturnReason::Leaving))));
-    deliver(&mut beside, &request(3, 100), 2);
+    assert_eq!(agent.delivery(&arrival(&opening(flow(9))), 1), leaving);
+    assert!(matches!(agent.next_outcome(1), Some(WaitOutcome::Return(_, ReturnReason::Leaving))));
+    deliver(&mut agent, &request(3, 100), 2);
 }
 
 #[test]
-fn memory_for_flows_is_bounded() {
-    let mut beside = Agent::new(ServiceId::of(SERVICE));
-    beside.set_slots(1_000_000);
+fn tracked_flows_are_bounded() {
+    let mut agent = Agent::new(ServiceId::of(SERVICE));
+    agent.set_slots(1_000_000);
     for port in 0..20_000 {
-        deliver(&mut beside, &opening(flow(port)), 0);
-        deliver(&mut beside, &data(flow(port)), 0);
+        deliver(&mut agent, &opening(flow(port)), 0);
+        deliver(&mut agent, &data(flow(port)), 0);
     }
-    assert!(beside.flow_count() <= 8_192);
+    assert!(agent.flow_count() <= 8_192);
 }
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -1,11 +1,11 @@
-//! Flows go where they are expected to be answered soonest.
+//! New flows go to the target with the shortest expected time to answer.
 
 mod support;
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 
-use support::beside::{answer, arrival, output};
+use support::agent_fixture::{answer, arrival, output};
 use support::{Fixture, LATER, SERVICE, Store, agent, claim, data, flow, opening};
 use weirhinge_fleet::{
     ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, TargetState, ZoneId,
@@ -15,33 +15,36 @@
 const SLOTS: usize = 2;
 const DIGEST_MS: Millis = 500;
 
-/// A target that works on two requests at once, with its agent.
+/// A target that processes two requests concurrently, with its agent.
 struct Target {
-    beside: Agent,
-    /// None while it hangs.
+    agent: Agent,
+    /// Time per request; none while the target is stalled.
     service_ms: Option<Millis>,
-    /// Requests at work, each with the time that is left for it.
+    /// Running requests, each with its remaining time.
     running: Vec<(FlowKey, Millis)>,
     queue: VecDeque<FlowKey>,
-    /// When flows opened here.
+    /// Times at which flows opened here.
     opened: Vec<Millis>,
 }
 
 impl Target {
     fn new(service_ms: Millis) -> Self {
-        let mut beside = Agent::new(ServiceId::of(SERVICE));
-        beside.set_slots(SLOTS as u32);
+        let mut agent = Agent::new(ServiceId::of(SERVICE));
+        agent.set_slots(SLOTS as u32);
         let (running, queue, opened) = Default::default();
-        Self { beside, service_ms: Some(service_ms), running, queue, opened }
+        Self { agent, service_ms: Some(service_ms), running, queue, opened }
     }
 
-    fn work(&mut self, now: Millis) -> usize {
+    fn process_requests(&mut self, now: Millis) -> usize {
         let Some(service_ms) = self.service_ms else { return 0 };
-        self.running.iter_mut().for_each(|(_, left)| *left = left.saturating_sub(1));
-        let done: Vec<FlowKey> =
-            self.running.extract_if(.., |(_, left)| *left == 0).map(|(flow, _)| flow).collect();
+        self.running.iter_mut().for_each(|(_, remaining)| *remaining = remaining.saturating_sub(1));
+        let done: Vec<FlowKey> = self
+            .running
+            .extract_if(.., |(_, remaining)| *remaining == 0)
+            .map(|(flow, _)| flow)
+            .collect();
         for flow in &done {
-            self.beside.output(&answer(*flow), now);
+            self.agent.output(&answer(*flow), now);
         }
         while self.running.len() < SLOTS
             && let Some(flow) = self.queue.pop_front()
@@ -56,31 +59,32 @@
     }
 }
 
-/// A balancer before some targets, with one new flow of one request every `gap_ms`.
+/// A balancer in front of some targets, with one new flow of one request every
+/// `opening_interval_ms`.
 struct Service {
     fixture: Fixture,
     targets: Vec<Target>,
-    tells_times: bool,
-    gap_ms: Millis,
+    reports_times: bool,
+    opening_interval_ms: Millis,
     now: Millis,
     opened: u16,
     answered: usize,
-    /// Time that all requests together were at the targets.
-    spent_ms: u64,
+    /// Total time that requests spent at the targets.
+    total_time_ms: u64,
 }
 
 impl Service {
-    fn new(service_times: &[Millis], gap_ms: Millis) -> Self {
+    fn new(service_times: &[Millis], opening_interval_ms: Millis) -> Self {
         let store = Store::with_targets(service_times.len() as u8);
         Self {
             fixture: Fixture::new(&store),
             targets: service_times.iter().map(|time| Target::new(*time)).collect(),
-            tells_times: true,
-            gap_ms,
+            reports_times: true,
+            opening_interval_ms,
             now: LATER,
             opened: 0,
             answered: 0,
-            spent_ms: 0,
+            total_time_ms: 0,
         }
     }
 
@@ -88,9 +92,9 @@
         for _ in 0..span {
             self.now += 1;
             for number in 0..self.targets.len() {
-                self.turn(number);
+                self.step(number);
             }
-            if self.now.is_multiple_of(self.gap_ms) {
+            if self.now.is_multiple_of(self.opening_interval_ms) {
                 self.opened += 1;
                 let decision = self.fixture.client(&opening(flow(self.opened)), self.now);
                 self.send(decision);
@@ -100,16 +104,16 @@
     }
 
     fn load(&self, number: usize) -> TargetLoad {
-        let load = self.targets[number].beside.load(self.now);
-        if self.tells_times { load } else { load.waiting.into() }
+        let load = self.targets[number].agent.load(self.now);
+        if self.reports_times { load } else { load.waiting.into() }
     }
 
-    fn turn(&mut self, number: usize) {
+    fn step(&mut self, number: usize) {
         let (now, target) = (self.now, &mut self.targets[number]);
-        self.answered += target.work(now);
-        self.spent_ms += u64::from(target.beside.waiting());
-        target.beside.expire(now);
-        while let Some(outcome) = self.targets[number].beside.next_outcome(now) {
+        self.answered += target.process_requests(now);
+        self.total_time_ms += u64::from(target.agent.waiting());
+        target.agent.expire(now);
+        while let Some(outcome) = self.targets[number].agent.next_outcome(now) {
             match outcome {
                 WaitOutcome::Deliver(opening, _) => self.open(number, opening.head.client_flow()),
                 WaitOutcome::Return(..) => {}
@@ -128,7 +132,7 @@
         let number = usize::from(forward.agent.octets()[3]) - 1;
         let mut arrival = arrival(&head);
         arrival.may_wait = forward.may_wait();
-        match self.targets[number].beside.delivery(&arrival, self.now) {
+        match self.targets[number].agent.delivery(&arrival, self.now) {
             DeliveryDecision::Deliver { .. } => self.open(number, flow(self.opened)),
             DeliveryDecision::Return(reason) => {
                 self.fixture.balancer.heard(forward.agent, self.load(number), self.now);
@@ -139,17 +143,17 @@
         }
     }
 
-    /// The target answers the opening, and the request comes.
+    /// The target answers the opening, and the first request arrives.
     fn open(&mut self, number: usize, key: FlowKey) {
         let target = &mut self.targets[number];
         target.opened.push(self.now);
         let accept = Flags { syn: true, ack: true, ..Flags::default() };
-        target.beside.output(&output(key, accept, 0), self.now);
+        target.agent.output(&output(key, accept, 0), self.now);
         let load = self.load(number);
         self.fixture.balancer.holds(key, agent(number as u8 + 1), false, load, self.now);
         let head = data(key);
         let target = &mut self.targets[number];
-        target.beside.delivery(&arrival(&head), self.now);
+        target.agent.delivery(&arrival(&head), self.now);
         target.queue.push_back(key);
     }
 
@@ -160,13 +164,14 @@
     }
 
     fn mean_ms(&self) -> f64 {
-        self.spent_ms as f64 / self.answered as f64
+        self.total_time_ms as f64 / self.answered as f64
     }
 }
 
-/// Two of six targets are 2.4 times as fast as the others; half of what all can do is asked.
+/// Two of six targets are 2.4 times as fast as the others, and the load is half of the total
+/// capacity.
 #[test]
-fn targets_get_shares_by_what_they_can_do() {
+fn targets_get_shares_by_speed() {
     let times = [36, 36, 36, 36, 15, 15];
     let mut service = Service::new(&times, 4);
     let from = service.run_for(1_000);
@@ -175,17 +180,17 @@
         (service.opened_within(0..4, from, to), service.opened_within(4..6, from, to));
     assert!(fast >= 1.5 * slow, "opened at a fast one {fast}, at a slow one {slow}");
     let mut by_load = Service::new(&times, 4);
-    by_load.tells_times = false;
+    by_load.reports_times = false;
     by_load.run_for(11_000);
-    let (told, untold) = (service.mean_ms(), by_load.mean_ms());
-    assert!(told < untold, "mean time {told}, by load {untold}");
+    let (by_time_ms, by_load_ms) = (service.mean_ms(), by_load.mean_ms());
+    assert!(by_time_ms < by_load_ms, "mean time {by_time_ms}, by load {by_load_ms}");
 }
 
-/// One of six targets takes four times as long from 2 s to 6 s. Returns the service at the end
-/// of that, and its beginning and end.
-fn with_slow_target(tells_times: bool) -> (Service, Millis, Millis) {
+/// One of six targets takes four times as long from 2 s to 6 s. Returns the service after that
+/// time, with the start and end of the slow period.
+fn with_slow_target(reports_times: bool) -> (Service, Millis, Millis) {
     let mut service = Service::new(&[25; 6], 4);
-    service.tells_times = tells_times;
+    service.reports_times = reports_times;
     let slowed_at = service.run_for(2_000);
     service.targets[0].service_ms = Some(100);
     let recovered_at = service.run_for(4_000);
@@ -193,52 +198,59 @@
 }
 
 #[test]
-fn a_target_that_slows_down_gets_little_and_is_found_again() {
+fn slow_target_gets_few_flows_until_it_recovers() {
     let (mut service, slowed_at, recovered_at) = with_slow_target(true);
     let by_load = with_slow_target(false).0.mean_ms();
     assert!(service.mean_ms() < by_load, "mean time {}, by load {by_load}", service.mean_ms());
     let from = slowed_at + 500;
     let slow = service.opened_within(0..1, from, recovered_at);
     let others = service.opened_within(1..6, from, recovered_at);
-    // It can do a quarter of what the others can.
+    // It has a quarter of the others' throughput.
     assert!(slow <= 0.25 * others, "opened while slow {slow}, at others {others}");
     service.targets[0].service_ms = Some(25);
     let end = service.run_for(6_000);
     let from = recovered_at + 3_500;
-    let found = service.opened_within(0..1, from, end);
+    let opened_after_recovery = service.opened_within(0..1, from, end);
     let others = service.opened_within(1..6, from, end);
-    assert!(found > 0.6 * others, "opened when recovered {found}, at others {others}");
+    assert!(
+        opened_after_recovery > 0.6 * others,
+        "opened after recovery {opened_after_recovery}, at others {others}"
+    );
 }
 
 #[test]
-fn a_hanging_target_gets_few_flows_and_is_found_again() {
+fn stalled_target_gets_few_flows_until_it_recovers() {
     let mut service = Service::new(&[25; 6], 4);
-    let hung_at = service.run_for(2_000);
+    let stalled_at = service.run_for(2_000);
     service.targets[0].service_ms = None;
     let recovered_at = service.run_for(4_000);
     service.targets[0].service_ms = Some(25);
     let end = service.run_for(8_000);
-    // Its room, now and once more when what hangs there is given up, and as much to be safe.
-    let hung = service.opened_within(0..1, hung_at, recovered_at);
-    assert!(hung <= 12.0, "opened while it hung: {hung}");
+    // Its admission limit once at first, once more when the stalled requests time out, and the same
+    // again as a margin.
+    let opened_while_stalled = service.opened_within(0..1, stalled_at, recovered_at);
+    assert!(opened_while_stalled <= 12.0, "opened while stalled: {opened_while_stalled}");
     let (from, to) = (recovered_at + 4_000, end);
-    let (found, others) =
+    let (opened_after_recovery, others) =
         (service.opened_within(0..1, from, to), service.opened_within(1..6, from, to));
-    assert!(found > 0.6 * others, "opened when recovered {found}, at others {others}");
+    assert!(
+        opened_after_recovery > 0.6 * others,
+        "opened after recovery {opened_after_recovery}, at others {others}"
+    );
 }
 
-fn told(waiting: u32, service_ms: u32, wait_ms: u32) -> TargetLoad {
+fn reported(waiting: u32, service_ms: u32, wait_ms: u32) -> TargetLoad {
     let expected_ms = Some(service_ms + wait_ms);
     TargetLoad { waiting, expected_ms, service_ms: Some(service_ms) }
 }
 
-/// How many of 400 flows each agent gets if it tells the same before each of them. Words
-/// come `age` before each choice.
-fn shares(fixture: &mut Fixture, words: &[(u8, TargetLoad)], age: Millis) -> Vec<usize> {
+/// Returns how many of 400 flows each agent gets if it sends the same report before each of them.
+/// Reports arrive `age` ms before each choice.
+fn shares(fixture: &mut Fixture, reports: &[(u8, TargetLoad)], age: Millis) -> Vec<usize> {
     let mut chosen: Vec<Ipv4Addr> = Vec::new();
     for port in 0..400 {
         let now = LATER + Millis::from(port) * 10_000;
-        for (number, load) in words {
+        for (number, load) in reports {
             let claim = TargetClaim { load: *load, ..claim(SERVICE) };
             fixture.balancer.claimed(agent(*number), ZoneId::of("a"), &claim, now - age);
             fixture.balancer.heard(agent(*number), *load, now - age);
@@ -247,39 +259,40 @@
         chosen.push(support::forwarded(&decision).agent);
     }
     let count = |number: u8| chosen.iter().filter(|chosen| **chosen == agent(number)).count();
-    words.iter().map(|(number, _)| count(*number)).collect()
+    reports.iter().map(|(number, _)| count(*number)).collect()
 }
 
 #[test]
-fn a_target_without_a_word_is_like_the_others() {
+fn target_without_report_gets_average_share() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    let words = [(1, told(0, 30, 0)), (2, told(0, 30, 0)), (3, told(0, 30, 0)), (4, 0.into())];
-    let shares = shares(&mut fixture, &words, 10);
+    let reports =
+        [(1, reported(0, 30, 0)), (2, reported(0, 30, 0)), (3, reported(0, 30, 0)), (4, 0.into())];
+    let shares = shares(&mut fixture, &reports, 10);
     assert!((70..=130).contains(&shares[3]), "{shares:?}");
 }
 
 #[test]
-fn a_word_about_a_wait_is_worth_less_as_it_ages() {
-    let words = [(1, told(0, 30, 200)), (2, told(0, 30, 0)), (3, told(0, 30, 0))];
+fn reported_wait_loses_weight_with_age() {
+    let reports = [(1, reported(0, 30, 200)), (2, reported(0, 30, 0)), (3, reported(0, 30, 0))];
     let fixture = || Fixture::new(&Store::with_targets(3));
-    let fresh = shares(&mut fixture(), &words, 10);
+    let fresh = shares(&mut fixture(), &reports, 10);
     assert_eq!(fresh[0], 0, "{fresh:?}");
-    let old = shares(&mut fixture(), &words, 1_000);
+    let old = shares(&mut fixture(), &reports, 1_000);
     assert!((100..=170).contains(&old[0]), "{old:?}");
 }
 
 #[test]
-fn a_service_time_counts_for_longer() {
-    let words = [(1, told(0, 90, 0)), (2, told(0, 30, 0)), (3, told(0, 30, 0))];
+fn reported_service_time_is_valid_longer_than_wait() {
+    let reports = [(1, reported(0, 90, 0)), (2, reported(0, 30, 0)), (3, reported(0, 30, 0))];
     let fixture = || Fixture::new(&Store::with_targets(3));
-    let known = shares(&mut fixture(), &words, 5_000);
+    let known = shares(&mut fixture(), &reports, 5_000);
     assert_eq!(known[0], 0, "{known:?}");
-    let aged = shares(&mut fixture(), &words, 10_000);
+    let aged = shares(&mut fixture(), &reports, 10_000);
     assert!((100..=170).contains(&aged[0]), "{aged:?}");
 }
 
 #[test]
-fn a_cold_target_without_a_word_is_slower_than_the_others() {
+fn cold_target_without_report_is_assumed_slow() {
     let mut store = Store::default();
     let policy = ColdStartPolicy {
         service: SERVICE.to_owned(),
@@ -295,26 +308,26 @@
     store.evacuate(&[], 1);
     let mut fixture = Fixture::new(&store);
     fixture.view = store.view_in_zone("c");
-    let words = [(1, told(0, 30, 0)), (2, told(0, 30, 0)), (51, 0.into())];
-    let cold = shares(&mut fixture, &words, 10);
+    let reports = [(1, reported(0, 30, 0)), (2, reported(0, 30, 0)), (51, 0.into())];
+    let cold = shares(&mut fixture, &reports, 10);
     assert_eq!(cold[2], 0, "{cold:?}");
-    // Once its agent has measured it, that counts.
-    let words = [(1, told(0, 30, 0)), (2, told(0, 30, 0)), (51, told(0, 30, 0))];
-    let measured = shares(&mut fixture, &words, 10);
+    // Once its agent has measured a service time, that time is used.
+    let reports = [(1, reported(0, 30, 0)), (2, reported(0, 30, 0)), (51, reported(0, 30, 0))];
+    let measured = shares(&mut fixture, &reports, 10);
     assert!(measured[2] >= 100, "{measured:?}");
 }
 
 #[test]
-fn small_differences_leave_the_flow_at_the_first_of_its_order() {
-    let equal = [(1, told(0, 30, 0)), (2, told(0, 30, 0)), (3, told(0, 30, 0))];
-    let rough = [(1, told(0, 28, 0)), (2, told(0, 30, 1)), (3, told(0, 32, 0))];
+fn small_differences_do_not_change_the_choice() {
+    let equal = [(1, reported(0, 30, 0)), (2, reported(0, 30, 0)), (3, reported(0, 30, 0))];
+    let rough = [(1, reported(0, 28, 0)), (2, reported(0, 30, 1)), (3, reported(0, 32, 0))];
     let fixture = || Fixture::new(&Store::with_targets(3));
     assert_eq!(shares(&mut fixture(), &equal, 10), shares(&mut fixture(), &rough, 10));
 }
 
-/// With times that are all alike, the choice is the one by load: also between zones.
+/// With equal service times the choice equals the one by load, also between zones.
 #[test]
-fn equal_targets_are_chosen_as_by_load() {
+fn equal_service_times_give_the_choice_by_load() {
     let store = support::two_groups();
     for loads in 0..64u32 {
         let load_of = |place: u32| loads >> (2 * (place % 3)) & 3;
@@ -334,9 +347,9 @@
 }
 
 #[test]
-fn the_log_gets_the_expected_time() {
+fn decision_reports_expected_time() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
-    fixture.balancer.heard(agent(1), told(2, 40, 25), LATER);
+    fixture.balancer.heard(agent(1), reported(2, 40, 25), LATER);
     for (port, expected) in [(1, 65), (2, 75)] {
         let decision = fixture.client(&opening(flow(port)), LATER);
         let inputs = support::forwarded(&decision).inputs.clone().expect("chosen by load");
--- a/crates/steering/tests/grant_bounds.rs
+++ b/crates/steering/tests/grant_bounds.rs
@@ -1,156 +1,156 @@
-//! Bounds that hold whatever balancers ask for and answer.
+//! Limits of capacity and memory hold for any sequence of requests and answers of balancers.
 
 mod support;
 
 use std::net::Ipv4Addr;
 
 use proptest::prelude::*;
-use support::asking::*;
-use support::beside::{arrival, deliver, new_agent, request};
+use support::agent_fixture::{arrival, deliver, new_agent, request};
+use support::grant_requests::*;
 use support::{SERVICE, agent as balancer, flow, opening};
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId};
 use weirhinge_steering::{Agent, Arrival, ColdStartRate, WaitOutcome};
 
 #[test]
-fn the_number_of_balancers_is_bounded() {
-    let mut beside = full_agent();
+fn number_of_balancers_is_bounded() {
+    let mut agent = agent_at_limit();
     let numbered = |number: u32| Ipv4Addr::from_bits(balancer(0).to_bits() + number);
     for number in 0..600 {
-        // Those heard first have waited longest.
-        let demand = others(1, 1_000 - number as u16);
+        // Balancers that requested first have waited longest.
+        let demand = non_urgent(1, 1_000 - number as u16);
         let now = 100 + Millis::from(number) / 10;
-        beside.demand(numbered(number), ServiceId::of(SERVICE), demand, now);
+        agent.demand(numbered(number), ServiceId::of(SERVICE), demand, now);
     }
-    assert_eq!(beside.asking(), 512);
-    free(&mut beside, 0, 160);
-    let first = beside.next_grant(160).map(|grant| grant.balancer);
-    assert_eq!(first, Some(numbered(88)), "the entry heard longest ago was replaced");
+    assert_eq!(agent.asking(), 512);
+    answer_request(&mut agent, 0, 160);
+    let first = agent.next_grant(160).map(|grant| grant.balancer);
+    assert_eq!(first, Some(numbered(88)), "the oldest entry was evicted");
 }
 
 fn cold_agent(per_second: u32) -> Agent {
-    let mut beside = Agent::new(ServiceId::of(SERVICE));
-    beside.set_slots(1_000);
-    beside.set_cold_start(ColdStartRate::new(per_second, 1.5, 5.0), Millis::MAX);
-    beside
+    let mut agent = Agent::new(ServiceId::of(SERVICE));
+    agent.set_slots(1_000);
+    agent.set_cold_start(ColdStartRate::new(per_second, 1.5, 5.0), Millis::MAX);
+    agent
 }
 
 #[test]
-fn a_cold_target_grants_no_more_than_its_rate() {
-    let mut beside = cold_agent(3);
-    ask(&mut beside, 101, others(9, 50), 5_000);
-    assert_eq!(grants(&mut beside, 5_000).len(), 3);
-    assert_eq!(beside.delivery(&arrival(&opening(flow(60))), 5_001), BUSY);
+fn cold_target_grants_no_more_than_its_rate() {
+    let mut agent = cold_agent(3);
+    request_capacity(&mut agent, 101, non_urgent(9, 50), 5_000);
+    assert_eq!(grantees(&mut agent, 5_000).len(), 3);
+    assert_eq!(agent.delivery(&arrival(&opening(flow(60))), 5_001), BUSY);
     for port in 50..53 {
-        assert!(is_taken(&answer_grant(&mut beside, 101, port, others(6, 50), 5_010)));
+        assert!(is_delivered(&use_grant(&mut agent, 101, port, non_urgent(6, 50), 5_010)));
     }
-    assert_eq!(grant(&mut beside, 5_011), None);
-    ask(&mut beside, 101, others(9, 50), 6_009);
-    assert_eq!(grant(&mut beside, 6_009), None);
-    assert_eq!(grants(&mut beside, 6_010).len(), 3);
-    // Room that was kept in vain counts no more, and who let it pass has to ask again.
-    assert_eq!(grants(&mut beside, 6_030).len(), 0);
-    ask(&mut beside, 101, others(9, 50), 6_030);
-    assert_eq!(grants(&mut beside, 6_030).len(), 3);
+    assert_eq!(next_grantee(&mut agent, 5_011), None);
+    request_capacity(&mut agent, 101, non_urgent(9, 50), 6_009);
+    assert_eq!(next_grantee(&mut agent, 6_009), None);
+    assert_eq!(grantees(&mut agent, 6_010).len(), 3);
+    // Lapsed grants no longer count, and their balancer has to request again.
+    assert_eq!(grantees(&mut agent, 6_030).len(), 0);
+    request_capacity(&mut agent, 101, non_urgent(9, 50), 6_030);
+    assert_eq!(grantees(&mut agent, 6_030).len(), 3);
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { number: u8, urgent: u16, others: u16 },
-    Direct { urgent: bool, may_wait: bool },
-    Answer { number: u8, urgent: bool, twice: bool },
+    Request { number: u8, urgent: u16, non_urgent: u16 },
+    Open { urgent: bool, may_wait: bool },
+    UseGrant { number: u8, urgent: bool, duplicated: bool },
     Decline { number: u8 },
-    Serve,
-    Pass(Millis),
+    Finish,
+    Advance(Millis),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let number = || 101..104u8;
     prop_oneof![
-        (number(), 0..4u16, 0..6u16).prop_map(|(number, urgent, others)| Step::Ask {
+        (number(), 0..4u16, 0..6u16).prop_map(|(number, urgent, non_urgent)| Step::Request {
             number,
             urgent,
-            others
-        }),
-        any::<(bool, bool)>().prop_map(|(urgent, may_wait)| Step::Direct { urgent, may_wait }),
-        (number(), any::<bool>(), any::<bool>()).prop_map(|(number, urgent, twice)| Step::Answer {
-            number,
-            urgent,
-            twice
+            non_urgent
         }),
+        any::<(bool, bool)>().prop_map(|(urgent, may_wait)| Step::Open { urgent, may_wait }),
+        (number(), any::<bool>(), any::<bool>())
+            .prop_map(|(number, urgent, duplicated)| Step::UseGrant { number, urgent, duplicated }),
         number().prop_map(|number| Step::Decline { number }),
-        Just(Step::Serve),
-        (0..30u64).prop_map(Step::Pass),
+        Just(Step::Finish),
+        (0..30u64).prop_map(Step::Advance),
     ]
 }
 
-/// An agent whose flows bring their requests at once, so that all are counted as in hand.
-struct Run {
-    beside: Agent,
+/// An agent whose flows send their requests immediately, so that all of them are in flight.
+struct AgentRun {
+    agent: Agent,
     now: Millis,
     next_port: u16,
-    in_hand: Vec<u16>,
-    taken_at: Vec<Millis>,
+    in_flight: Vec<u16>,
+    admitted_at: Vec<Millis>,
 }
 
-impl Run {
-    fn new(beside: Agent) -> Self {
-        Self { beside, now: 5_000, next_port: 1_000, in_hand: Vec::new(), taken_at: Vec::new() }
+impl AgentRun {
+    fn new(agent: Agent) -> Self {
+        Self { agent, now: 5_000, next_port: 1_000, in_flight: Vec::new(), admitted_at: Vec::new() }
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { number, urgent: count, others: more } => {
-                let demand = OpeningDemand { others: others(more, 50).others, ..urgent(count, 9) };
-                ask(&mut self.beside, number, demand, self.now);
+            Step::Request { number, urgent: urgent_count, non_urgent: non_urgent_count } => {
+                let demand = OpeningDemand {
+                    others: non_urgent(non_urgent_count, 50).others,
+                    ..urgent(urgent_count, 9)
+                };
+                request_capacity(&mut self.agent, number, demand, self.now);
             }
-            Step::Direct { urgent, may_wait } => {
+            Step::Open { urgent, may_wait } => {
                 self.open(|arrival| Arrival { urgent, may_wait, ..arrival }, false);
             }
-            Step::Answer { number, urgent, twice } => {
-                let granted = Some(others(1, 5));
+            Step::UseGrant { number, urgent, duplicated } => {
+                let granted = Some(non_urgent(1, 5));
                 let balancer = balancer(number);
-                self.open(|arrival| Arrival { balancer, urgent, granted, ..arrival }, twice);
+                self.open(|arrival| Arrival { balancer, urgent, granted, ..arrival }, duplicated);
             }
             Step::Decline { number } => {
-                self.beside.declined(balancer(number), self.now);
+                self.agent.declined(balancer(number), self.now);
             }
-            Step::Serve => {
-                if let Some(port) = self.in_hand.pop() {
-                    free(&mut self.beside, port, self.now);
+            Step::Finish => {
+                if let Some(port) = self.in_flight.pop() {
+                    answer_request(&mut self.agent, port, self.now);
                 }
             }
-            Step::Pass(time) => self.now += time,
+            Step::Advance(time) => self.now += time,
         }
-        self.settle();
+        self.drain_outcomes();
     }
 
-    fn open(&mut self, kind: impl Fn(Arrival<'_>) -> Arrival<'_>, twice: bool) {
+    fn open(&mut self, kind: impl Fn(Arrival<'_>) -> Arrival<'_>, duplicated: bool) {
         let port = self.next_port;
         self.next_port += 1;
         let head = opening(flow(port));
-        let decision = self.beside.delivery(&kind(arrival(&head)), self.now);
-        if is_taken(&decision) {
-            if twice {
-                let copy = self.beside.delivery(&kind(arrival(&head)), self.now);
-                assert!(is_taken(&copy), "{copy:?}");
+        let decision = self.agent.delivery(&kind(arrival(&head)), self.now);
+        if is_delivered(&decision) {
+            if duplicated {
+                let copy = self.agent.delivery(&kind(arrival(&head)), self.now);
+                assert!(is_delivered(&copy), "{copy:?}");
             }
-            self.took(port);
+            self.record_admission(port);
         }
     }
 
-    fn took(&mut self, port: u16) {
-        deliver(&mut self.beside, &request(port, 0), self.now);
-        self.in_hand.push(port);
-        self.taken_at.push(self.now);
+    fn record_admission(&mut self, port: u16) {
+        deliver(&mut self.agent, &request(port, 0), self.now);
+        self.in_flight.push(port);
+        self.admitted_at.push(self.now);
     }
 
-    fn settle(&mut self) {
+    fn drain_outcomes(&mut self) {
         loop {
-            let outcome = self.beside.next_outcome(self.now);
+            let outcome = self.agent.next_outcome(self.now);
             if let Some(WaitOutcome::Deliver(opening, _)) = &outcome {
-                self.took(opening.head.source.port());
+                self.record_admission(opening.head.source.port());
             }
-            let granted = self.beside.next_grant(self.now);
+            let granted = self.agent.next_grant(self.now);
             if outcome.is_none() && granted.is_none() {
                 return;
             }
@@ -160,52 +160,52 @@
 
 proptest! {
     #[test]
-    fn requests_in_hand_and_kept_room_never_exceed_the_room(
+    fn requests_and_grants_never_exceed_the_limit(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let mut run = Run::new(new_agent());
+        let mut run = AgentRun::new(new_agent());
         for step in steps {
             run.step(step);
-            prop_assert_eq!(run.beside.waiting() as usize, run.in_hand.len());
-            let load = run.beside.waiting() + run.beside.kept_room();
+            prop_assert_eq!(run.agent.waiting() as usize, run.in_flight.len());
+            let load = run.agent.waiting() + run.agent.kept_room();
             prop_assert!(load <= 8, "{load}");
         }
     }
 
     #[test]
-    fn no_second_brings_a_cold_target_more_than_its_rate(
+    fn cold_start_rate_holds_in_every_second(
         per_second in 1..6u32,
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let mut run = Run::new(cold_agent(per_second));
+        let mut run = AgentRun::new(cold_agent(per_second));
         for step in steps {
             run.step(step);
             let is_recent = |at: &&Millis| run.now - **at < 1_000;
-            let recent = run.taken_at.iter().filter(is_recent).count();
-            prop_assert!(recent + run.beside.kept_room() as usize <= per_second as usize);
+            let recent = run.admitted_at.iter().filter(is_recent).count();
+            prop_assert!(recent + run.agent.kept_room() as usize <= per_second as usize);
         }
     }
 
-    /// No state is absorbing: when all are silent, the room is free within a moment.
+    /// No state is absorbing: when all balancers fall silent, all capacity is free again soon.
     #[test]
-    fn all_room_is_free_again_when_all_balancers_are_silent(
+    fn capacity_is_free_when_all_balancers_are_silent(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let mut run = Run::new(new_agent());
+        let mut run = AgentRun::new(new_agent());
         for step in steps {
             run.step(step);
         }
-        while !run.in_hand.is_empty() {
-            run.step(Step::Serve);
+        while !run.in_flight.is_empty() {
+            run.step(Step::Finish);
         }
         for _ in 0..20 {
-            run.step(Step::Pass(20));
-            while !run.in_hand.is_empty() {
-                run.step(Step::Serve);
+            run.step(Step::Advance(20));
+            while !run.in_flight.is_empty() {
+                run.step(Step::Finish);
             }
         }
-        prop_assert_eq!((run.beside.asking(), run.beside.kept_room()), (0, 0));
-        let direct = run.beside.delivery(&arrival(&opening(flow(1))), run.now);
-        prop_assert!(is_taken(&direct), "{direct:?}");
+        prop_assert_eq!((run.agent.asking(), run.agent.kept_room()), (0, 0));
+        let direct = run.agent.delivery(&arrival(&opening(flow(1))), run.now);
+        prop_assert!(is_delivered(&direct), "{direct:?}");
     }
 }
--- a/crates/steering/tests/restarted_targets.rs
+++ b/crates/steering/tests/restarted_targets.rs
@@ -1,9 +1,9 @@
-//! A target that starts again under its identifier is another one, and an entry of another
-//! writer at its address is none.
+//! A target that restarts under its identifier is a new incarnation, and an entry of another writer
+//! at its address does not replace it.
 
 mod support;
 
-use support::beside::{answer, arrival, deliver, fill, new_agent, output, request};
+use support::agent_fixture::{answer, arrival, deliver, fill, new_agent, output, request};
 use support::{Fixture, LATER, SERVICE, Store, agent, data, flow, forwarded, opening, packet};
 use weirhinge_fleet::{ReturnReason, TargetState};
 use weirhinge_steering::{
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn requests_in_hand_of_the_life_before_take_no_room() {
+fn requests_before_restart_take_no_capacity() {
     let mut agent = new_agent();
     fill(&mut agent);
     agent.target_restarted();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_ejection_ends_with_the_life_that_earned_it() {
+fn restart_ends_ejection() {
     let mut agent = new_agent();
     for port in 1..4 {
         agent.delivery(&arrival(&request(port, 0)), 100);
@@ -37,35 +37,35 @@
     deliver(&mut agent, &opening(flow(51)), 102);
 }
 
-/// The agent vouches for flows that its target was seen to hold, as the target itself may
-/// take too long to answer. The next life holds none of them.
+/// The agent answers searches for flows that its target was seen to hold, because the target may
+/// take too long to answer itself. The next incarnation holds none of these flows.
 #[test]
-fn nobody_vouches_for_flows_of_the_life_before() {
+fn searches_for_flows_before_restart_are_not_answered() {
     let mut agent = new_agent();
     deliver(&mut agent, &request(7, 0), 0);
     agent.output(&answer(flow(7)), 10);
     let later = request(7, 100);
     let searching = Arrival { search: Some(&[]), ..arrival(&later) };
-    let vouches = |decision| matches!(decision, DeliveryDecision::Deliver { notice: Some(_), .. });
-    assert!(vouches(agent.clone().delivery(&searching, 20)));
+    let confirms = |decision| matches!(decision, DeliveryDecision::Deliver { notice: Some(_), .. });
+    assert!(confirms(agent.clone().delivery(&searching, 20)));
     agent.target_restarted();
-    assert!(!vouches(agent.delivery(&searching, 20)));
+    assert!(!confirms(agent.delivery(&searching, 20)));
 }
 
 #[test]
-fn openings_that_wait_keep_their_turn() {
+fn waiting_openings_stay_queued_across_restart() {
     let mut agent = new_agent();
     fill(&mut agent);
     let head = opening(flow(60));
-    let waits = Arrival { may_wait: true, ..arrival(&head) };
-    assert!(matches!(agent.delivery(&waits, 5), DeliveryDecision::Wait { .. }));
+    let waiting = Arrival { may_wait: true, ..arrival(&head) };
+    assert!(matches!(agent.delivery(&waiting, 5), DeliveryDecision::Wait { .. }));
     agent.target_restarted();
     agent.set_slots(4);
     assert!(agent.next_outcome(6).is_some());
 }
 
 #[test]
-fn a_balancer_forgets_that_the_life_before_failed() {
+fn balancer_forgets_failures_before_restart() {
     let mut store = Store::with_targets(1);
     let mut fixture = Fixture::new(&store);
     let opened = opening(flow(1));
@@ -83,9 +83,9 @@
     assert_eq!(forwarded(&chosen).agent, agent(1));
 }
 
-/// Flows of the life before end at the target's own word: it sends their packets back.
+/// Flows of the previous incarnation end when the targets bounce their packets.
 #[test]
-fn a_lost_flow_is_reset_when_all_targets_sent_its_packet_back() {
+fn search_for_lost_flow_ends_after_all_targets_bounced() {
     let mut store = Store::with_targets(2);
     let mut fixture = Fixture::new(&store);
     let holder = fixture.open(5, LATER);
@@ -95,24 +95,25 @@
     fixture.view = store.view();
     let (visited, end) = fixture.bounce_to_the_end(&data(flow(5)), LATER + 20);
     assert_eq!(visited[0], holder);
-    assert_eq!(visited.len(), 2, "each target was asked once");
+    assert_eq!(visited.len(), 2, "each target was searched once");
     assert!(!matches!(end, Decision::Forward(_)));
 }
 
 #[test]
-fn an_entry_of_a_service_without_a_route_displaces_no_target() {
+fn entry_of_unrouted_service_does_not_replace_target() {
     let mut store = Store::with_targets(1);
     store.target_at(1, "nonsense", "foreign", LATER);
     let mut fixture = Fixture::new(&store);
     assert_eq!(forwarded(&fixture.client(&opening(flow(1)), LATER)).agent, agent(1));
     assert_eq!(fixture.view.agents(), [agent(1)]);
-    // Once a route names the service, the address belongs to its newest user.
+    // Once a route names the service, the address belongs to the newest entry.
     store.route(&[(SERVICE, 1), ("nonsense", 1)]);
     fixture.view = store.view();
     assert_eq!(fixture.view.candidates(weirhinge_fleet::ServiceId::of(SERVICE)).len(), 0);
 }
 
-/// An agent whose target held the flows of these ports, each with a request in hand.
+/// An agent whose target restarted and held the flows of these ports, each with an unanswered
+/// request.
 fn restarted_with_requests(ports: std::ops::Range<u16>) -> Agent {
     let mut agent = new_agent();
     for port in ports {
@@ -124,16 +125,21 @@
     agent
 }
 
-/// A client that waits for its answer sends nothing. It was told only at its next packet, which
-/// came when it had given the request up.
+/// Guards against clients that learn of a lost flow too late. A client that waits for an answer
+/// sends nothing, so without the check it was reset only at its next packet, after it had given up
+/// the request.
 #[test]
-fn a_flow_that_the_target_sends_back_after_its_restart_is_reset() {
+fn flow_bounced_after_restart_is_reset() {
     let mut agent = restarted_with_requests(1..3);
     let mut reset = Vec::new();
     while let Some(check) = agent.next_check() {
         assert_eq!(check.packet, b"packet");
         let bounced = agent.not_taken(&check.flow, check.echo);
-        assert_eq!(bounced, OutputDecision::Reset { sequence: 500 }, "where the client stands");
+        assert_eq!(
+            bounced,
+            OutputDecision::Reset { sequence: 500 },
+            "the client's next expected sequence number"
+        );
         reset.push(check.flow);
     }
     reset.sort();
@@ -141,19 +147,19 @@
 }
 
 #[test]
-fn a_flow_of_the_new_life_goes_on() {
+fn flow_of_new_incarnation_continues() {
     let mut agent = restarted_with_requests(1..2);
     assert!(agent.next_check().is_some());
-    // The target holds it, and takes the packet for a repetition.
-    assert_eq!(agent.next_check(), None, "each flow is asked about once");
+    // The target holds the flow and treats the packet as a retransmission.
+    assert_eq!(agent.next_check(), None, "each flow is checked once");
     deliver(&mut agent, &request(1, 200), 40);
     assert!(matches!(agent.output(&answer(flow(1)), 50), OutputDecision::ToClient { .. }));
 }
 
-/// Another target may hold the flow: this one wrote no more than an answer to the opening
-/// packet, or nothing at all.
+/// Another target may hold the flow: this one sent no more than an answer to the opening packet, or
+/// nothing at all.
 #[test]
-fn a_flow_that_another_target_may_hold_is_left_alone() {
+fn flow_that_another_target_may_hold_is_not_checked() {
     let mut agent = new_agent();
     deliver(&mut agent, &request(1, 0), 0);
     deliver(&mut agent, &opening(flow(2)), 0);
@@ -166,7 +172,7 @@
 
 /// An opening packet would open a flow at the target, and a flow that ends needs no reset.
 #[test]
-fn packets_that_open_or_end_a_flow_are_not_handed_over_again() {
+fn packets_that_open_or_end_a_flow_are_not_redelivered() {
     let ending = Flags { ack: true, fin: true, ..Flags::default() };
     for flags in [Flags { syn: true, ..Flags::default() }, ending] {
         let mut agent = new_agent();
@@ -178,9 +184,10 @@
     }
 }
 
-/// Flows whose clients wait are asked about first, as the others can do without.
+/// Flows with unanswered requests are checked first, because their clients cannot notice the loss
+/// themselves.
 #[test]
-fn clients_that_wait_are_told_first() {
+fn flows_with_unanswered_requests_are_checked_first() {
     let mut agent = new_agent();
     for port in [1, 2] {
         deliver(&mut agent, &request(port, 0), 0);
@@ -194,7 +201,7 @@
 }
 
 #[test]
-fn a_second_restart_keeps_what_is_still_to_be_asked() {
+fn second_restart_keeps_pending_checks() {
     let mut agent = restarted_with_requests(1..4);
     assert!(agent.next_check().is_some());
     agent.target_restarted();
--- a/crates/steering/tests/support/beside.rs
+++ b/crates/steering/tests/support/agent_fixture.rs
@@ -1,4 +1,4 @@
-//! An agent beside a target that a test answers for.
+//! An agent whose target is simulated by the test.
 
 use weirhinge_fleet::ServiceId;
 use weirhinge_steering::{Agent, Arrival, DeliveryDecision, Flags, FlowKey, PacketHead};
@@ -31,7 +31,7 @@
     }
 }
 
-/// A packet of the target on a flow.
+/// A packet that the target sends on a flow.
 pub fn output(flow: FlowKey, flags: Flags, length: u16) -> PacketHead {
     let head = packet(flow, flags, length);
     PacketHead { source: head.destination, destination: head.source, ..head }
@@ -45,7 +45,7 @@
     PacketHead { sequence, ..data(flow(port)) }
 }
 
-/// Fills the room of five: four slots and a quarter more.
+/// Delivers five requests, the limit for a target with four slots (125%).
 pub fn fill(agent: &mut Agent) {
     for port in 0..5 {
         deliver(agent, &request(port, 0), 0);
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code, unused_imports)]
 
-pub mod asking;
-pub mod beside;
+pub mod agent_fixture;
 mod fixture;
+pub mod grant_requests;
 pub mod queue;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
