--- a/crates/relay/src/agent/delivery.rs
+++ b/crates/relay/src/agent/delivery.rs
@@ -69,7 +69,7 @@
 
     pub(super) fn deliver(&self, arrival: &Arrival<'_>) {
         let now = self.clock.now();
-        if arrival.head.is_opening() && !self.core.borrow().is_sized() {
+        if arrival.head.is_opening() && !self.core.borrow().has_known_slots() {
             self.learn_target();
         }
         let decision = self.core.borrow_mut().delivery(arrival, now);
@@ -94,7 +94,7 @@
                 self.decisions.waits(&arrival.head.client_flow(), load.waiting, now);
                 self.link.send(arrival.balancer, &PeerMessage::Waits { load });
             }
-            DeliveryDecision::WaitsAlready => {}
+            DeliveryDecision::AlreadyWaiting => {}
         }
         if arrival.granted.is_some() {
             self.settle_openings();
@@ -140,13 +140,14 @@
     pub(super) fn check_flows(&self) {
         let now = self.clock.now();
         for _ in 0..CHECKS_AT_ONCE {
-            let Some(RestartCheck { flow, mut packet, echo }) = self.core.borrow_mut().next_check()
+            let Some(RestartCheck { flow, mut packet, echo }) =
+                self.core.borrow_mut().next_restart_check()
             else {
                 return;
             };
             self.platform.write_echo(&mut packet, echo);
             if !self.hand_to_target(&packet) {
-                let decision = self.core.borrow_mut().not_taken(&flow, echo);
+                let decision = self.core.borrow_mut().handle_undelivered(&flow, echo);
                 if let OutputDecision::Reset { sequence } = decision {
                     self.reset_lost(&flow, sequence, now);
                 }
@@ -160,7 +161,7 @@
         if !self.hand_to_target(&labelled) {
             // Its port is closed: the packet is as good for another target as one
             // that the target itself sends back.
-            let decision = self.core.borrow_mut().not_taken(&head.client_flow(), echo);
+            let decision = self.core.borrow_mut().handle_undelivered(&head.client_flow(), echo);
             self.carry_on(decision, head, packet, now);
         }
     }
--- a/crates/relay/src/agent/grants.rs
+++ b/crates/relay/src/agent/grants.rs
@@ -42,7 +42,7 @@
     /// Logs and counts grants that were not answered in time.
     pub(super) fn report_lapsed(&self, now: Millis) {
         loop {
-            let lapsed = self.core.borrow_mut().next_lapsed();
+            let lapsed = self.core.borrow_mut().next_lapsed_balancer();
             let Some(balancer) = lapsed else { return };
             self.metrics.grants_lapsed.inc();
             self.decisions.lapsed(balancer, now);
--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -161,7 +161,7 @@
     /// Ends waits that no output of the target ends.
     async fn watch_openings(self: Rc<Self>) {
         loop {
-            let is_asked = self.core.borrow().asking() > 0;
+            let is_asked = self.core.borrow().requesting_balancers() > 0;
             tokio::time::sleep(if is_asked { GRANTS_POLL } else { OPENINGS_POLL }).await;
             self.settle_openings();
             self.report_found();
@@ -221,16 +221,16 @@
     fn renew_claim(&self) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
-        core.learn_routes(self.node.borrow().view(), now);
+        core.update_routes(self.node.borrow().view(), now);
         self.metrics.waiting.set(i64::from(core.waiting()));
         self.metrics.flows.set(core.flow_count() as i64);
-        self.metrics.balancers_asking.set(core.asking() as i64);
+        self.metrics.balancers_asking.set(core.requesting_balancers() as i64);
         self.node.borrow_mut().claim = Some(TargetClaim {
             service: self.service.clone(),
             alive: !self.target_gone.get(),
             load: core.load(now),
             leaving: self.leaving.get(),
-            recorded: core.is_sized(),
+            recorded: core.has_known_slots(),
             without_former_flows: core.without_former_flows(now),
         });
     }
@@ -239,7 +239,7 @@
     /// for it, some 350 ms each until a balancer has learned that nobody answers. A target
     /// that wrote anything since the agent was told to stop has not.
     async fn report_ended_target(&self, target: SocketAddrV4, told_at: Millis) {
-        if refuses_connections(target).await && !self.core.borrow().wrote_since(told_at) {
+        if refuses_connections(target).await && !self.core.borrow().has_output_since(told_at) {
             info!(self.log, "agent: target has ended"; "event" => "target_ended");
             self.link.announce_end();
         }
--- a/crates/relay/src/agent/output.rs
+++ b/crates/relay/src/agent/output.rs
@@ -28,7 +28,7 @@
             Err(malformed) => return self.metrics.dropped.increment(malformed.label()),
         };
         if let Some(status) = self.platform.answer_status(packet) {
-            self.core.borrow_mut().answer_begins(&head.target_flow(), status, now);
+            self.core.borrow_mut().record_answer_status(&head.target_flow(), status, now);
         }
         let decision = self.core.borrow_mut().output(&head, now);
         self.report_breaker();
@@ -115,7 +115,7 @@
     pub(super) fn report_found(&self) {
         let now = self.clock.now();
         loop {
-            let found = self.core.borrow_mut().next_found(now);
+            let found = self.core.borrow_mut().next_search_notice(now);
             match found {
                 Some(notice) => self.send_notice(&notice, now),
                 None => return,
--- a/crates/steering/src/agent/decision.rs
+++ b/crates/steering/src/agent/decision.rs
@@ -35,7 +35,7 @@
         displaced: Option<Box<WaitedOpening>>,
     },
     /// Do nothing: a copy of it is already queued.
-    WaitsAlready,
+    AlreadyWaiting,
 }
 
 /// A packet that checks whether a restarted target still holds a flow.
--- a/crates/steering/src/agent/former_flows.rs
+++ b/crates/steering/src/agent/former_flows.rs
@@ -78,7 +78,7 @@
 
 impl Agent {
     /// Updates the routes from the configuration in force. To be called regularly.
-    pub fn learn_routes(&mut self, view: &FleetView, now: Millis) {
+    pub fn update_routes(&mut self, view: &FleetView, now: Millis) {
         self.former.update_routes(view, self.service, now);
         self.former.untracked.retain(|_, until| now < *until);
     }
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -52,17 +52,17 @@
     }
 
     /// Returns the next balancer that let a grant lapse. Each lapsed grant is reported once.
-    pub fn next_lapsed(&mut self) -> Option<Ipv4Addr> {
-        self.grants.next_lapsed()
+    pub fn next_lapsed_balancer(&mut self) -> Option<Ipv4Addr> {
+        self.grants.next_lapsed_balancer()
     }
 
     /// Number of balancers that currently request capacity.
-    pub fn asking(&self) -> usize {
+    pub fn requesting_balancers(&self) -> usize {
         self.grants.requesting_balancers()
     }
 
     /// Number of outstanding grants, each of which reserves capacity for one new flow.
-    pub fn kept_room(&self) -> u32 {
+    pub fn reserved_capacity(&self) -> u32 {
         self.grants.reserved()
     }
 
--- a/crates/steering/src/agent/grants.rs
+++ b/crates/steering/src/agent/grants.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns the next balancer whose grant lapsed.
-    pub(super) fn next_lapsed(&mut self) -> Option<Ipv4Addr> {
+    pub(super) fn next_lapsed_balancer(&mut self) -> Option<Ipv4Addr> {
         self.lapsed.pop_front()
     }
 
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether the target sent a packet at or after `time`.
-    pub fn wrote_since(&self, time: Millis) -> bool {
+    pub fn has_output_since(&self, time: Millis) -> bool {
         self.last_output_at.is_some_and(|at| at >= time)
     }
 
@@ -133,7 +133,7 @@
     /// Handles a restart of the target. The new incarnation holds no earlier flow, and what was
     /// measured of the previous one does not apply to it. Waiting openings stay queued, and new
     /// flows of the last second still count towards the cold-start limit.
-    /// [`Self::next_check`] returns the checks to send for the flows tracked so far.
+    /// [`Self::next_restart_check`] returns the checks to send for the flows tracked so far.
     pub fn target_restarted(&mut self) {
         let was_ejected = self.breaker.is_open();
         self.grants.revoke_outstanding();
@@ -168,7 +168,7 @@
     }
 
     /// Whether the number of requests that the target processes concurrently is known.
-    pub fn is_sized(&self) -> bool {
+    pub fn has_known_slots(&self) -> bool {
         self.admission.has_known_slots()
     }
 
@@ -235,7 +235,7 @@
 
     /// Returns the next flow to check at a restarted target, with the packet to deliver and its
     /// echo label.
-    pub fn next_check(&mut self) -> Option<RestartCheck> {
+    pub fn next_restart_check(&mut self) -> Option<RestartCheck> {
         let check = self.restart_checks.next()?;
         let sequence = check.latest.acknowledgment;
         let echo = self.deliveries.record_check(check.balancer, sequence);
@@ -260,7 +260,7 @@
 
     fn queue_or_return(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
         if self.openings.has(&arrival.head.client_flow()) {
-            return DeliveryDecision::WaitsAlready;
+            return DeliveryDecision::AlreadyWaiting;
         }
         if !arrival.may_wait || arrival.granted.is_some() {
             return DeliveryDecision::Return(ReturnReason::Busy);
@@ -271,7 +271,7 @@
 
     /// Records the status of an answer, from the packet in which the answer begins. To be called
     /// before [`Self::output`] for the same packet.
-    pub fn answer_begins(&mut self, flow: &FlowKey, status: AnswerStatus, now: Millis) {
+    pub fn record_answer_status(&mut self, flow: &FlowKey, status: AnswerStatus, now: Millis) {
         let is_waiting = self.flows.get(flow).is_some_and(|flow| flow.waiting_since.is_some());
         if !is_waiting {
             return;
@@ -299,7 +299,7 @@
         self.last_output_at = Some(now);
         self.service_time.advance(now);
         if head.flags.bounced {
-            return self.not_taken(&head.client_flow(), head.echo);
+            return self.handle_undelivered(&head.client_flow(), head.echo);
         }
         let flow = head.target_flow();
         let Some(entry) = self.flows.get_mut(&flow) else {
@@ -355,7 +355,7 @@
 
     /// Decides what to do with a packet that the target did not accept: it bounced, or the target's
     /// port is closed.
-    pub fn not_taken(&mut self, flow: &FlowKey, echo: u32) -> OutputDecision {
+    pub fn handle_undelivered(&mut self, flow: &FlowKey, echo: u32) -> OutputDecision {
         self.untrack(flow);
         let decision = self.deliveries.take_undelivered(echo);
         decision.unwrap_or(OutputDecision::Drop(OutputDrop::UnknownDelivery))
--- a/crates/steering/src/agent/searches.rs
+++ b/crates/steering/src/agent/searches.rs
@@ -28,7 +28,7 @@
 
     /// Returns the notice for the next search whose packet the target processed and did not bounce.
     /// Such a target holds the flow, though its answer may take longer than balancers wait.
-    pub fn next_found(&mut self, now: Millis) -> Option<HoldsNotice> {
+    pub fn next_search_notice(&mut self, now: Millis) -> Option<HoldsNotice> {
         while let Some((delivered_at, flow)) = self.searches.front().copied() {
             if now < delivered_at + BOUNCE_TIMEOUT_MS {
                 return None;
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -16,7 +16,7 @@
     assert_eq!(agent.delivery(&arrival(&head), 1), busy);
     let may_wait = Arrival { may_wait: true, ..arrival(&head) };
     assert_eq!(agent.delivery(&may_wait, 1), DeliveryDecision::Wait { displaced: None });
-    assert_eq!(agent.delivery(&arrival(&head), 2), DeliveryDecision::WaitsAlready);
+    assert_eq!(agent.delivery(&arrival(&head), 2), DeliveryDecision::AlreadyWaiting);
     assert_eq!(agent.next_outcome(3), None);
     // Packets of open flows are never queued.
     deliver(&mut agent, &data(flow(51)), 3);
--- a/crates/steering/tests/agent.rs
+++ b/crates/steering/tests/agent.rs
@@ -134,7 +134,7 @@
         panic!("expected a delivery");
     };
     let back = OutputDecision::Return { balancer: address(100), granted: false };
-    assert_eq!(agent.not_taken(&flow(1), echo), back);
+    assert_eq!(agent.handle_undelivered(&flow(1), echo), back);
 }
 
 #[test]
@@ -144,10 +144,10 @@
     let found = HoldsNotice { balancer: address(100), flow: flow(1), confirmed: true };
     // The target may not have processed the packet yet.
     agent.output(&answer(flow(9)), 101);
-    assert_eq!(agent.next_found(135), None);
+    assert_eq!(agent.next_search_notice(135), None);
     agent.output(&answer(flow(9)), 136);
-    assert_eq!(agent.next_found(137), Some(found));
-    assert_eq!(agent.next_found(138), None);
+    assert_eq!(agent.next_search_notice(137), Some(found));
+    assert_eq!(agent.next_search_notice(138), None);
 }
 
 #[test]
@@ -156,16 +156,16 @@
     search(&mut agent, &request(1, 1), 100);
     let bounced = Flags { bounced: true, ..Flags::default() };
     agent.output(&PacketHead { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
-    assert_eq!(agent.next_found(200), None);
+    assert_eq!(agent.next_search_notice(200), None);
     // A new search has a bounce timeout of its own.
     search(&mut agent, &request(1, 1), 200);
     agent.output(&answer(flow(9)), 210);
-    assert_eq!(agent.next_found(229), None);
+    assert_eq!(agent.next_search_notice(229), None);
     let mut stalled = new_agent();
     search(&mut stalled, &request(1, 1), 100);
-    assert_eq!(stalled.next_found(240), None);
+    assert_eq!(stalled.next_search_notice(240), None);
     stalled.output(&answer(flow(9)), 241);
-    assert_eq!(stalled.next_found(300), None);
+    assert_eq!(stalled.next_search_notice(300), None);
 }
 
 #[test]
--- a/crates/steering/tests/failing_targets.rs
+++ b/crates/steering/tests/failing_targets.rs
@@ -14,7 +14,7 @@
 /// Delivers one request on a new flow and answers it immediately with `status`.
 fn serve(agent: &mut Agent, port: u16, status: AnswerStatus, now: u64) {
     agent.delivery(&arrival(&request(port, 0)), now);
-    agent.answer_begins(&flow(port), status, now);
+    agent.record_answer_status(&flow(port), status, now);
     agent.output(&answer(flow(port)), now);
 }
 
@@ -78,7 +78,7 @@
     let mut agent = new_agent();
     for port in 1..30 {
         serve(&mut agent, port, AnswerStatus::NotRun, 100);
-        agent.answer_begins(&flow(port), AnswerStatus::Failed, 101);
+        agent.record_answer_status(&flow(port), AnswerStatus::Failed, 101);
     }
     assert!(!is_rejected(&mut agent, 50, 102));
 }
--- a/crates/steering/tests/former_flow_claims.rs
+++ b/crates/steering/tests/former_flow_claims.rs
@@ -33,14 +33,14 @@
     let mut store = Store::default();
     store.route(&[(SERVICE, 1)]);
     let mut agent = new_agent();
-    agent.learn_routes(&store.view(), 0);
+    agent.update_routes(&store.view(), 0);
     (agent, store)
 }
 
 /// Removes the service from its route.
 fn remove_from_route(agent: &mut Agent, store: &mut Store, now: u64) {
     store.route(&[(OTHER, 1)]);
-    agent.learn_routes(&store.view(), now);
+    agent.update_routes(&store.view(), now);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     deliver(&mut agent, &opening(flow(1)), LATER);
     remove_from_route(&mut agent, &mut store, LATER + 10);
     store.route(&[(OTHER, 1), (SERVICE, 1)]);
-    agent.learn_routes(&store.view(), LATER + 20);
+    agent.update_routes(&store.view(), LATER + 20);
     assert_eq!(agent.without_former_flows(LATER + 20 + PROPAGATION_MS), version(&store.view()));
 }
 
@@ -95,7 +95,7 @@
     let (mut agent, mut store) = agent_with_route();
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
     store.route(&[(SERVICE, 1)]);
-    agent.learn_routes(&store.view(), LATER);
+    agent.update_routes(&store.view(), LATER);
     assert_eq!(agent.without_former_flows(LATER + PROPAGATION_MS - 1), None);
 }
 
@@ -103,9 +103,9 @@
 fn route_changes_of_other_services_are_ignored() {
     let (mut agent, mut store) = agent_with_route();
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
-    agent.learn_routes(&store.view(), LATER);
+    agent.update_routes(&store.view(), LATER);
     store.route(&[(SERVICE, 0)]);
-    agent.learn_routes(&store.view(), LATER + 1);
+    agent.update_routes(&store.view(), LATER + 1);
     assert_eq!(agent.without_former_flows(LATER + 2), version(&store.view()));
 }
 
@@ -129,7 +129,7 @@
     agent.target_restarted();
     remove_from_route(&mut agent, &mut store, LATER + 10);
     assert_eq!(agent.without_former_flows(LATER + 59_999), None);
-    agent.learn_routes(&store.view(), LATER + 60_000);
+    agent.update_routes(&store.view(), LATER + 60_000);
     assert!(agent.without_former_flows(LATER + 60_000).is_some());
 }
 
@@ -139,7 +139,7 @@
     store.idle_timeout_ms = Some(300_000);
     store.route(&[(SERVICE, 1)]);
     let mut agent = new_agent();
-    agent.learn_routes(&store.view(), 0);
+    agent.update_routes(&store.view(), 0);
     deliver(&mut agent, &opening(flow(1)), 400_000);
     remove_from_route(&mut agent, &mut store, 400_010);
     agent.expire(699_999);
--- a/crates/steering/tests/grant_bounds.rs
+++ b/crates/steering/tests/grant_bounds.rs
@@ -21,7 +21,7 @@
         let now = 100 + Millis::from(number) / 10;
         agent.demand(numbered(number), ServiceId::of(SERVICE), demand, now);
     }
-    assert_eq!(agent.asking(), 512);
+    assert_eq!(agent.requesting_balancers(), 512);
     answer_request(&mut agent, 0, 160);
     let first = agent.next_grant(160).map(|grant| grant.balancer);
     assert_eq!(first, Some(numbered(88)), "the oldest entry was evicted");
@@ -167,7 +167,7 @@
         for step in steps {
             run.step(step);
             prop_assert_eq!(run.agent.waiting() as usize, run.in_flight.len());
-            let load = run.agent.waiting() + run.agent.kept_room();
+            let load = run.agent.waiting() + run.agent.reserved_capacity();
             prop_assert!(load <= 8, "{load}");
         }
     }
@@ -182,7 +182,7 @@
             run.step(step);
             let is_recent = |at: &&Millis| run.now - **at < 1_000;
             let recent = run.admitted_at.iter().filter(is_recent).count();
-            prop_assert!(recent + run.agent.kept_room() as usize <= per_second as usize);
+            prop_assert!(recent + run.agent.reserved_capacity() as usize <= per_second as usize);
         }
     }
 
@@ -204,7 +204,7 @@
                 run.step(Step::Finish);
             }
         }
-        prop_assert_eq!((run.agent.asking(), run.agent.kept_room()), (0, 0));
+        prop_assert_eq!((run.agent.requesting_balancers(), run.agent.reserved_capacity()), (0, 0));
         let direct = run.agent.delivery(&arrival(&opening(flow(1))), run.now);
         prop_assert!(is_delivered(&direct), "{direct:?}");
     }
--- a/crates/steering/tests/grants_unanswered.rs
+++ b/crates/steering/tests/grants_unanswered.rs
@@ -16,7 +16,7 @@
     answer_request(&mut agent, 0, 399);
     assert_eq!(next_grantee(&mut agent.clone(), 399), Some(101));
     assert_eq!(next_grantee(&mut agent, 400), None);
-    assert_eq!(agent.asking(), 0);
+    assert_eq!(agent.requesting_balancers(), 0);
     // A balancer at which nothing waits any more requests nothing.
     request_capacity(&mut agent, 101, non_urgent(1, 0), 400);
     request_capacity(&mut agent, 101, NO_DEMAND, 401);
@@ -29,16 +29,16 @@
     answer_request(&mut agent, 0, 100);
     request_capacity(&mut agent, 101, non_urgent(9, 90), 100);
     assert_eq!(grantees(&mut agent, 100), [101]);
-    assert_eq!((next_grantee(&mut agent, 119), agent.kept_room()), (None, 1));
+    assert_eq!((next_grantee(&mut agent, 119), agent.reserved_capacity()), (None, 1));
     assert_eq!(grantees(&mut agent, 120), [101]);
-    assert_eq!(agent.next_lapsed(), Some(balancer(101)));
-    assert_eq!(agent.next_lapsed(), None);
+    assert_eq!(agent.next_lapsed_balancer(), Some(balancer(101)));
+    assert_eq!(agent.next_lapsed_balancer(), None);
     // Two consecutive grants lapsed: the capacity goes to others, and the balancer has to request
     // again.
     request_capacity(&mut agent, 102, non_urgent(1, 0), 139);
     assert_eq!(grantees(&mut agent, 140), [102]);
-    assert_eq!(agent.next_lapsed(), Some(balancer(101)));
-    assert_eq!(agent.asking(), 1);
+    assert_eq!(agent.next_lapsed_balancer(), Some(balancer(101)));
+    assert_eq!(agent.requesting_balancers(), 1);
     answer_request(&mut agent, 1, 141);
     assert_eq!(grantees(&mut agent, 141), Vec::<u8>::new());
     request_capacity(&mut agent, 101, non_urgent(9, 90), 142);
@@ -67,11 +67,11 @@
     request_capacity(&mut agent, 102, non_urgent(2, 50), 100);
     assert_eq!(grantees(&mut agent, 100), [101]);
     assert!(agent.declined(balancer(101), 102));
-    assert_eq!(agent.asking(), 1, "its demand is dropped");
+    assert_eq!(agent.requesting_balancers(), 1, "its demand is dropped");
     assert_eq!(grantees(&mut agent, 102), [102]);
     // A duplicated decline does not release another balancer's grant.
     assert!(!agent.declined(balancer(101), 103));
-    assert_eq!((agent.kept_room(), next_grantee(&mut agent, 103)), (1, None));
+    assert_eq!((agent.reserved_capacity(), next_grantee(&mut agent, 103)), (1, None));
 }
 
 #[test]
@@ -98,11 +98,11 @@
     assert_eq!(grantees(&mut agent, 100), [101, 101]);
     for now in [101, 102] {
         assert!(is_delivered(&use_grant(&mut agent, 101, 50, non_urgent(8, 80), now)));
-        assert_eq!(agent.kept_room(), 1, "the second grant belongs to another flow");
+        assert_eq!(agent.reserved_capacity(), 1, "the second grant belongs to another flow");
     }
     assert_eq!(next_grantee(&mut agent, 102), None);
     assert!(is_delivered(&use_grant(&mut agent, 101, 51, non_urgent(7, 80), 103)));
-    assert_eq!((agent.kept_room(), next_grantee(&mut agent, 103)), (0, None));
+    assert_eq!((agent.reserved_capacity(), next_grantee(&mut agent, 103)), (0, None));
 }
 
 /// A copy of the client's opening packet reached another balancer, which does not know that the
@@ -116,7 +116,7 @@
     request_capacity(&mut agent, 101, non_urgent(1, 50), 200);
     assert_eq!(grantees(&mut agent, 200), [101]);
     assert!(is_delivered(&use_grant(&mut agent, 101, 50, NO_DEMAND, 201)));
-    assert_eq!((agent.kept_room(), agent.asking()), (0, 0));
+    assert_eq!((agent.reserved_capacity(), agent.requesting_balancers()), (0, 0));
 }
 
 #[test]
@@ -134,21 +134,21 @@
     let granted = Some(non_urgent(2, 90));
     let late = Arrival { balancer: balancer(101), granted, may_wait: true, ..arrival(&head) };
     assert_eq!(without_capacity.delivery(&late, 121), BUSY);
-    assert_eq!(without_capacity.kept_room(), 1, "the grant of the other balancer");
+    assert_eq!(without_capacity.reserved_capacity(), 1, "the grant of the other balancer");
 }
 
 #[test]
 fn demand_for_another_service_is_rejected() {
     let mut agent = new_agent();
     assert!(!agent.demand(balancer(101), ServiceId::of(OTHER), non_urgent(1, 0), 0));
-    assert_eq!((agent.asking(), agent.next_grant(0)), (0, None));
+    assert_eq!((agent.requesting_balancers(), agent.next_grant(0)), (0, None));
 }
 
 /// Fails requests until the breaker opens.
 fn eject_target(agent: &mut Agent, now: Millis) {
     for port in 200..203 {
         agent.delivery(&arrival(&request(port, 0)), now);
-        agent.answer_begins(&flow(port), AnswerStatus::Failed, now);
+        agent.record_answer_status(&flow(port), AnswerStatus::Failed, now);
         answer_request(agent, port, now);
     }
 }
@@ -171,7 +171,7 @@
         assert_eq!(next_grantee(&mut agent, 102), None);
         let refused = use_grant(&mut agent, 101, 50, non_urgent(2, 50), 103);
         assert_eq!(refused, DeliveryDecision::Return(reason));
-        assert_eq!(agent.kept_room(), 0);
+        assert_eq!(agent.reserved_capacity(), 0);
     }
 }
 
@@ -194,7 +194,7 @@
     assert_eq!(grantees(&mut agent, 100).len(), 5);
     agent.target_restarted();
     agent.set_slots(4);
-    assert_eq!(agent.kept_room(), 0);
+    assert_eq!(agent.reserved_capacity(), 0);
     assert_eq!(grantees(&mut agent, 101).len(), 5, "the balancer's demand remains");
     let mut full = agent_at_limit();
     answer_request(&mut full, 0, 100);
@@ -219,5 +219,5 @@
     request_capacity(&mut agent, 101, non_urgent(1, 0), now);
     assert_eq!(grantees(&mut agent, now), [101]);
     assert!(is_delivered(&use_grant(&mut agent, 101, 50, NO_DEMAND, now + 1)));
-    assert_eq!((agent.kept_room(), agent.asking()), (0, 0));
+    assert_eq!((agent.reserved_capacity(), agent.requesting_balancers()), (0, 0));
 }
--- a/crates/steering/tests/restarted_targets.rs
+++ b/crates/steering/tests/restarted_targets.rs
@@ -25,7 +25,7 @@
     let mut agent = new_agent();
     for port in 1..4 {
         agent.delivery(&arrival(&request(port, 0)), 100);
-        agent.answer_begins(&flow(port), AnswerStatus::Failed, 100);
+        agent.record_answer_status(&flow(port), AnswerStatus::Failed, 100);
         agent.output(&answer(flow(port)), 100);
     }
     let refused = agent.delivery(&arrival(&opening(flow(50))), 101);
@@ -132,9 +132,9 @@
 fn flow_bounced_after_restart_is_reset() {
     let mut agent = restarted_with_requests(1..3);
     let mut reset = Vec::new();
-    while let Some(check) = agent.next_check() {
+    while let Some(check) = agent.next_restart_check() {
         assert_eq!(check.packet, b"packet");
-        let bounced = agent.not_taken(&check.flow, check.echo);
+        let bounced = agent.handle_undelivered(&check.flow, check.echo);
         assert_eq!(
             bounced,
             OutputDecision::Reset { sequence: 500 },
@@ -149,9 +149,9 @@
 #[test]
 fn flow_of_new_incarnation_continues() {
     let mut agent = restarted_with_requests(1..2);
-    assert!(agent.next_check().is_some());
+    assert!(agent.next_restart_check().is_some());
     // The target holds the flow and treats the packet as a retransmission.
-    assert_eq!(agent.next_check(), None, "each flow is checked once");
+    assert_eq!(agent.next_restart_check(), None, "each flow is checked once");
     deliver(&mut agent, &request(1, 200), 40);
     assert!(matches!(agent.output(&answer(flow(1)), 50), OutputDecision::ToClient { .. }));
 }
@@ -167,7 +167,7 @@
     agent.output(&output(flow(2), opened, 0), 1);
     deliver(&mut agent, &request(2, 0), 2);
     agent.target_restarted();
-    assert_eq!(agent.next_check(), None);
+    assert_eq!(agent.next_restart_check(), None);
 }
 
 /// An opening packet would open a flow at the target, and a flow that ends needs no reset.
@@ -180,7 +180,7 @@
         agent.output(&answer(flow(1)), 1);
         deliver(&mut agent, &packet(flow(1), flags, 0), 2);
         agent.target_restarted();
-        assert_eq!(agent.next_check(), None);
+        assert_eq!(agent.next_restart_check(), None);
     }
 }
 
@@ -196,14 +196,15 @@
     deliver(&mut agent, &request(1, 100), 2);
     deliver(&mut agent, &packet(flow(2), Flags { ack: true, ..Flags::default() }, 0), 3);
     agent.target_restarted();
-    let order: Vec<_> = std::iter::from_fn(|| agent.next_check()).map(|check| check.flow).collect();
+    let order: Vec<_> =
+        std::iter::from_fn(|| agent.next_restart_check()).map(|check| check.flow).collect();
     assert_eq!(order, [flow(1), flow(2)]);
 }
 
 #[test]
 fn second_restart_keeps_pending_checks() {
     let mut agent = restarted_with_requests(1..4);
-    assert!(agent.next_check().is_some());
+    assert!(agent.next_restart_check().is_some());
     agent.target_restarted();
-    assert_eq!(std::iter::from_fn(|| agent.next_check()).count(), 2);
+    assert_eq!(std::iter::from_fn(|| agent.next_restart_check()).count(), 2);
 }
--- a/crates/steering/tests/service_time.rs
+++ b/crates/steering/tests/service_time.rs
@@ -127,7 +127,7 @@
         now += 1;
         let status = if port % 2 == 0 { AnswerStatus::NotRun } else { AnswerStatus::Failed };
         if port < 8 {
-            agent.answer_begins(&flow(port), status, now);
+            agent.record_answer_status(&flow(port), status, now);
             agent.output(&answer(flow(port)), now);
         } else {
             let reset = Flags { rst: true, ..Flags::default() };
