--- a/crates/steering/src/agent/cold_start.rs
+++ b/crates/steering/src/agent/cold_start.rs
@@ -1,4 +1,4 @@
-//! Rate limit on new flows of a target that is still cold after its start.
+//! Rate limit on new flows of a cold target, that is, one that is still slow after its start.
 
 use std::collections::VecDeque;
 
@@ -28,9 +28,9 @@
             return None;
         }
         // Float-to-integer casts saturate.
-        let most = ((f64::from(per_second) * overshoot + slack).floor() as u32).max(1);
-        let first_second = most.saturating_sub(per_second).clamp(1, per_second);
-        Some(Self { per_second: per_second.min(most), first_second })
+        let max_per_second = ((f64::from(per_second) * overshoot + slack).floor() as u32).max(1);
+        let first_second = max_per_second.saturating_sub(per_second).clamp(1, per_second);
+        Some(Self { per_second: per_second.min(max_per_second), first_second })
     }
 }
 
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -75,20 +75,21 @@
     /// Matches an opening packet with the grants, and records the demand that it reports.
     pub(super) fn use_grant(&mut self, arrival: &Arrival<'_>, now: Millis) -> GrantUse {
         self.grants.expire(now);
-        let Some(rest) = arrival.granted else { return GrantUse::None };
+        let Some(remaining) = arrival.granted else { return GrantUse::None };
         // A duplicated message must not use up the grant for the balancer's next opening.
         let key = arrival.head.client_flow();
         let known_balancer = self.flows.get(&key).map(|flow| flow.balancer);
         if known_balancer == Some(arrival.balancer) && self.is_duplicate_opening(&key, now) {
             return GrantUse::None;
         }
-        self.grants.record_use(arrival.balancer, arrival.urgent, rest, now)
+        self.grants.record_use(arrival.balancer, arrival.urgent, remaining, now)
     }
 
     /// Whether a new flow is rejected because the target fails. A flow that may wait found no
     /// better target and is admitted. A flow with a valid grant passed the breaker when the grant
-    /// was issued, and is rejected only if the target was ejected since.
-    pub(super) fn is_rejected(
+    /// was issued, and is rejected only if the target was ejected since. Any other flow that is
+    /// admitted may start a trial.
+    pub(super) fn breaker_rejects(
         &mut self,
         arrival: &Arrival<'_>,
         grant: GrantUse,
--- a/crates/steering/src/agent/grants.rs
+++ b/crates/steering/src/agent/grants.rs
@@ -116,12 +116,12 @@
         &mut self,
         balancer: Ipv4Addr,
         urgent: bool,
-        rest: OpeningDemand,
+        remaining: OpeningDemand,
         now: Millis,
     ) -> GrantUse {
         let taken = self.take(balancer);
         self.demand.record_use(balancer);
-        self.record_demand(balancer, rest, now);
+        self.record_demand(balancer, remaining, now);
         let Some(entry) = taken else { return GrantUse::Lapsed };
         if urgent && entry.class == Class::NonUrgent {
             self.demand.keep_non_urgent_due();
@@ -138,8 +138,8 @@
 
     /// Removes the balancer's oldest grant. Balancers answer grants in the order of issue.
     fn take(&mut self, balancer: Ipv4Addr) -> Option<Outstanding> {
-        let place = self.outstanding.iter().position(|entry| entry.grant.balancer == balancer)?;
-        self.outstanding.remove(place)
+        let index = self.outstanding.iter().position(|entry| entry.grant.balancer == balancer)?;
+        self.outstanding.remove(index)
     }
 
     /// Returns the next balancer whose grant lapsed.
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -1,4 +1,10 @@
 //! Decisions of an agent about packets to and from its target.
+//!
+//! An agent runs next to one target. It delivers the packets that balancers forward to the target,
+//! and queues or returns opening packets (SYN) for which the target has no capacity. It grants
+//! capacity to balancers at which openings wait, and notifies balancers of flows that the target
+//! holds. A target bounces packets of flows that it does not hold: it sends them back marked as
+//! bounced, with the echo label of their delivery.
 
 mod admission;
 mod breaker;
@@ -43,7 +49,7 @@
 
 /// Most flows that an agent tracks; the target itself holds fewer.
 const FLOW_CAPACITY: usize = 8_192;
-/// Minimum idle time after which a flow is no longer tracked.
+/// Idle time after which a flow is no longer tracked, unless the configured idle timeout is longer.
 const FLOW_IDLE_MS: Millis = 60_000;
 
 /// A request that has no answer after this time no longer counts: its client gave up, or the agent
@@ -192,7 +198,7 @@
                 return DeliveryDecision::Return(ReturnReason::Evacuated);
             }
             let is_new = !self.flows.contains_key(&arrival.head.client_flow());
-            if is_new && self.is_rejected(arrival, grant, now) {
+            if is_new && self.breaker_rejects(arrival, grant, now) {
                 return DeliveryDecision::Return(ReturnReason::Failing);
             }
             if is_new && !self.has_capacity(arrival, grant, now) {
@@ -306,8 +312,8 @@
             return OutputDecision::ToClient { notice: None };
         };
         entry.used_at = now;
-        let ends = head.flags.fin || head.flags.rst;
-        let answered = if head.length > 0 || ends { entry.waiting_since.take() } else { None };
+        let ends_flow = head.flags.fin || head.flags.rst;
+        let answered = if head.length > 0 || ends_flow { entry.waiting_since.take() } else { None };
         if let Some(since) = answered {
             self.admission.record_answer(now.saturating_sub(since), self.waiting);
             if head.length > 0 {
@@ -322,7 +328,7 @@
         }
         let answers_opening = head.flags.syn && head.flags.ack;
         let notice = HoldsNotice { balancer: entry.balancer, flow, confirmed: !answers_opening };
-        let is_due = answers_opening || entry.searched_since.is_some();
+        let needs_notice = answers_opening || entry.searched_since.is_some();
         if !answers_opening {
             entry.searched_since = None;
             entry.confirmed = true;
@@ -330,7 +336,7 @@
         if head.flags.rst {
             self.untrack(&flow);
         }
-        OutputDecision::ToClient { notice: is_due.then_some(notice) }
+        OutputDecision::ToClient { notice: needs_notice.then_some(notice) }
     }
 
     /// Stops tracking idle flows, and stops counting requests that have waited too long for an
--- a/crates/steering/src/agent/round_trip.rs
+++ b/crates/steering/src/agent/round_trip.rs
@@ -18,7 +18,8 @@
 /// Fixed-point scale of the stored values, in units per millisecond.
 const SCALE: i64 = 64;
 
-/// Smoothed mean and deviation, in 64ths of a millisecond.
+/// Estimates the timeout for first requests from the smoothed mean and deviation, in 64ths of a
+/// millisecond.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RoundTrip {
     measured: Option<(i64, i64)>,
--- a/crates/steering/src/agent/service_time.rs
+++ b/crates/steering/src/agent/service_time.rs
@@ -187,15 +187,15 @@
 
     /// Removes a request. Returns how long it ran.
     fn remove(&mut self, flow: &FlowKey) -> Option<Millis> {
-        if let Some(place) = self.running.iter().position(|(running, _)| running == flow) {
-            let (_, since) = self.running.swap_remove(place);
+        if let Some(index) = self.running.iter().position(|(running, _)| running == flow) {
+            let (_, since) = self.running.swap_remove(index);
             self.fill_slots();
             return Some(self.now.saturating_sub(since));
         }
         // The target uses another order: a request that was assumed to run has not started. Its
         // running time is attributed to the one that ended.
-        let place = self.queued.iter().position(|queued| queued == flow)?;
-        self.queued.remove(place);
+        let index = self.queued.iter().position(|queued| queued == flow)?;
+        self.queued.remove(index);
         let latest = self.running.iter_mut().max_by_key(|(_, since)| *since)?;
         let since = std::mem::replace(&mut latest.1, self.now);
         Some(self.now.saturating_sub(since))
--- a/crates/steering/tests/grants.rs
+++ b/crates/steering/tests/grants.rs
@@ -64,8 +64,8 @@
         let now = 100 + Millis::from(port);
         let Grant { balancer, urgent_only } = agent.next_grant(now).expect("a grant");
         let number = balancer.octets()[3];
-        let rest = if number == 101 { urgent(50, 50) } else { non_urgent(50, 200) };
-        assert!(is_delivered(&use_grant(agent, number, port, rest, now)));
+        let remaining = if number == 101 { urgent(50, 50) } else { non_urgent(50, 200) };
+        assert!(is_delivered(&use_grant(agent, number, port, remaining, now)));
         deliver(agent, &request(port, 0), now);
         answer_request(agent, port, now);
         (number, urgent_only)
--- a/crates/steering/tests/support/grant_requests.rs
+++ b/crates/steering/tests/support/grant_requests.rs
@@ -43,11 +43,11 @@
     agent: &mut Agent,
     number: u8,
     port: u16,
-    rest: OpeningDemand,
+    remaining: OpeningDemand,
     now: Millis,
 ) -> DeliveryDecision {
     let head = opening(flow(port));
-    let granted = Some(rest);
+    let granted = Some(remaining);
     let answer = Arrival { balancer: balancer(number), granted, ..arrival(&head) };
     agent.delivery(&answer, now)
 }
