--- a/crates/steering/src/agent/deliveries.rs
+++ b/crates/steering/src/agent/deliveries.rs
@@ -15,7 +15,7 @@
 struct Delivery {
     echo: u32,
     balancer: Ipv4Addr,
-    /// Agents that a searching packet visits next. Empty, and thus without an allocation, for all
+    /// Agents that a search packet visits next. Empty, and thus without an allocation, for all
     /// other packets.
     next: Vec<u32>,
     /// Whether the packet came with a grant of this agent.
--- a/crates/steering/src/agent/former_flows.rs
+++ b/crates/steering/src/agent/former_flows.rs
@@ -77,7 +77,7 @@
 }
 
 impl Agent {
-    /// Updates the routes from the configuration in force. To be called regularly.
+    /// Updates the routes from the configuration in effect. To be called regularly.
     pub fn update_routes(&mut self, view: &FleetView, now: Millis) {
         self.former.update_routes(view, self.service, now);
         self.former.untracked.retain(|_, until| now < *until);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Whether the target may hold a flow. False if the target received nothing of it but a searching
+/// Whether the target may hold a flow. False if the target received nothing of it but a search
 /// packet and did not answer.
 fn may_be_held(flow: &Flow) -> bool {
     flow.confirmed || flow.searched_since != Some(flow.opened_at)
--- a/crates/steering/src/agent/searches.rs
+++ b/crates/steering/src/agent/searches.rs
@@ -12,7 +12,7 @@
 /// Output of the target this long after a delivery shows that the target processed the packet: it
 /// processes packets in order.
 const PROCESSED_AFTER_MS: Millis = 2;
-/// A target without output for this long after a searching packet may be stalled, and the balancer
+/// A target without output for this long after a search packet may be stalled, and the balancer
 /// has moved on to other targets.
 const SEARCH_TIMEOUT_MS: Millis = 120;
 
--- a/crates/steering/tests/cold_start.rs
+++ b/crates/steering/tests/cold_start.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn targets_are_cold_after_their_zone_returns() {
+fn targets_are_cold_after_evacuation_ends() {
     let mut store = Store::default();
     store.cold_starts =
         vec![ColdStartPolicy { service: SERVICE.to_owned(), cold_ms: 2_000, flows_per_second: 4 }];
--- a/crates/steering/tests/former_flow_reports.rs
+++ b/crates/steering/tests/former_flow_reports.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn searching_packet_does_not_count_until_target_answers() {
+fn search_packet_does_not_count_until_target_answers() {
     let (mut agent, mut store) = agent_with_route();
     remove_from_route(&mut agent, &mut store, LATER);
     let now = LATER + PROPAGATION_MS;
