--- a/crates/steering/src/balancer/caller_shares.rs
+++ b/crates/steering/src/balancer/caller_shares.rs
@@ -1,8 +1,8 @@
-//! What each caller has of the queue, so that one with many openings does not push out
-//! those with one.
+//! Counts each caller's recent openings, so that a caller with many openings does not displace
+//! callers with one.
 //!
-//! An opening counts while it waits, and for a second after it found room. Each balancer
-//! counts what comes to it; routers spread the openings of a caller over all.
+//! An opening counts while it waits and for one second after its admission. Each balancer counts
+//! only the openings it receives; routers spread a caller's openings over all balancers.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -11,37 +11,38 @@
 
 use crate::caller_rank::CallerRank;
 
-/// Time after its admission for which an opening counts.
+/// How long an opening counts after its admission.
 const RECENT_MS: Millis = 1_000;
-/// Most admitted openings that count; with more a second, they count for less time.
-const MOST_RECENT: usize = 1_024;
+/// Maximum number of admitted openings that count. At higher rates they count for less than
+/// [`RECENT_MS`].
+const MAX_RECENT: usize = 1_024;
 
-/// Openings of each caller that wait or were admitted lately.
+/// Openings of each caller that are waiting or were admitted recently.
 ///
-/// Holds at most one entry for each opening that waits, and [`MOST_RECENT`] further ones.
+/// Holds at most one entry for each waiting opening, plus [`MAX_RECENT`] entries.
 #[derive(Clone, Debug, Default)]
 pub struct CallerShares {
     openings: HashMap<Ipv4Addr, u32>,
-    /// Sum of all callers' openings.
+    /// Sum of the openings of all callers.
     total: u32,
-    /// Admitted openings that still count, the oldest first.
+    /// Admitted openings that still count, oldest first.
     recent: VecDeque<(Millis, Ipv4Addr)>,
 }
 
 impl CallerShares {
-    /// Counts an opening that begins to wait.
+    /// Counts an opening that starts to wait.
     pub fn waits(&mut self, caller: Ipv4Addr) {
         *self.openings.entry(caller).or_default() += 1;
         self.total += 1;
     }
 
-    /// Takes in that an opening that waited found room.
+    /// Records that a waiting opening was admitted.
     pub fn admitted(&mut self, caller: Ipv4Addr, now: Millis) {
         self.recent.push_back((now, caller));
         self.expire(now);
     }
 
-    /// Takes in that an opening that waited left without room.
+    /// Records that a waiting opening left the queue without being admitted.
     pub fn gave_up(&mut self, caller: Ipv4Addr) {
         let Some(count) = self.openings.get_mut(&caller) else { return };
         *count -= 1;
@@ -51,9 +52,9 @@
         self.total -= 1;
     }
 
-    /// The caller's rank for one more opening: worse the more openings it has beside the
-    /// mean of the others. Who has as many as the mean keeps its rank, since a caller's last
-    /// opening still counts when its next one comes.
+    /// Returns the caller's rank for one more opening. The rank gets worse the further the caller's
+    /// number of openings exceeds the mean of the other callers. A caller at the mean keeps its
+    /// rank, because its last opening still counts when its next one arrives.
     pub fn rank(&mut self, caller: Ipv4Addr, rank: CallerRank, now: Millis) -> CallerRank {
         self.expire(now);
         let own = self.openings.get(&caller).copied().unwrap_or(0);
@@ -61,14 +62,14 @@
         if own == 0 || others == 0 {
             return rank;
         }
-        let share = (self.total - own).div_ceil(others as u32);
-        rank.with_shares(own / (share + 1))
+        let mean_of_others = (self.total - own).div_ceil(others as u32);
+        rank.with_shares(own / (mean_of_others + 1))
     }
 
     fn expire(&mut self, now: Millis) {
         while let Some((admitted_at, caller)) = self.recent.front().copied() {
             let is_recent = now.saturating_sub(admitted_at) < RECENT_MS;
-            if is_recent && self.recent.len() <= MOST_RECENT {
+            if is_recent && self.recent.len() <= MAX_RECENT {
                 return;
             }
             self.recent.pop_front();
--- a/crates/steering/src/balancer/decision.rs
+++ b/crates/steering/src/balancer/decision.rs
@@ -1,32 +1,32 @@
-//! What a balancer decides about a packet, and why.
+//! A balancer's decision about a packet, and the reason for it.
 
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId};
 
-/// Why a packet was forwarded where it was.
+/// Why a packet was forwarded to the chosen agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardReason {
-    /// Opens a flow at the chosen target.
+    /// The packet opens a flow at the selected target.
     Opened,
-    /// A copy of an opening packet, for the target that answered the first.
+    /// A retransmitted opening packet goes to the target that answered the first one.
     OpeningRepeated,
-    /// A copy of an opening packet that nobody answered, for another target.
+    /// A retransmitted opening packet goes to another target because the first one did not answer.
     OpeningMoved,
-    /// The previous target sent the opening packet back.
+    /// The previous target returned the opening packet.
     OpeningReturned,
-    /// The opening packet waited, and this target granted room.
+    /// The opening packet was queued, and this target granted capacity for it.
     OpeningGranted,
-    /// All targets compared are busy; the opening packet waits at this one.
+    /// All compared targets are busy; the opening packet waits at this one.
     OpeningWaits,
     /// The flow's target is known.
     Held,
-    /// The flow is not known; the packet looks for its target.
+    /// The flow is unknown; the packet searches for its target.
     Search,
 }
 
 impl ForwardReason {
-    /// Label for logs and counters.
+    /// Label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             ForwardReason::Opened => "opened",
@@ -41,39 +41,39 @@
     }
 }
 
-/// What was weighed when it was decided whether an opening packet may wait.
+/// Inputs of the decision whether an opening packet may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueInputs {
-    /// How many openings of its class waited before it.
+    /// Number of openings of the same class that were queued before it.
     pub ahead: usize,
-    /// How long it was expected to wait; none while too little was known.
+    /// Expected wait, or `None` if the admission rate is not known yet.
     pub expected_wait_ms: Option<Millis>,
-    /// For how long it could have waited.
+    /// Longest time it was allowed to wait.
     pub budget_ms: Millis,
 }
 
 /// Why a flow was reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetReason {
-    /// No route has the packet's destination.
+    /// No route matches the packet's destination.
     NoRoute,
-    /// The route's service has no target that takes new flows.
+    /// The route's service has no target that accepts new flows.
     NoTarget,
     /// All targets of the route's service are in evacuated zones.
     Evacuated,
-    /// Every target sent the opening packet back.
+    /// Every target returned the opening packet.
     Refused,
-    /// Every target sent the flow's packet back, repeatedly.
+    /// Every target repeatedly returned the flow's packet.
     NobodyHolds,
-    /// No target has room in time for its opening packet, which no target has got.
+    /// No target has capacity in time, and no target has received the opening packet.
     Overloaded {
-        /// What was weighed.
+        /// Inputs of the decision.
         inputs: QueueInputs,
     },
 }
 
 impl ResetReason {
-    /// Label for logs and counters.
+    /// Label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             ResetReason::NoRoute => "no_route",
@@ -89,34 +89,34 @@
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// No configuration is known yet.
+    /// No configuration has been received yet.
     NoConfiguration,
-    /// No target is known yet, or the store's word is too old to refuse by.
+    /// No target is known yet, or the store's data is too old to justify a refusal.
     NoTargetYet,
-    /// A packet that claims to be sent back by a target came from a client.
+    /// A client sent a packet that is marked as returned by a target.
     BouncedByClient,
-    /// No target held the flow this time.
+    /// No target holds the flow so far.
     NobodyHoldsYet,
-    /// The search for the flow is under way already.
+    /// A search for the flow is already in progress.
     SearchGoesOn,
-    /// The searches of other flows use up the link for now; the packet is kept.
+    /// Searches for other flows use up the link for now; the packet is kept.
     SearchWaits {
-        /// Milliseconds until it is decided about again.
+        /// Milliseconds until the next decision about the packet.
         wait_ms: Millis,
     },
-    /// The kept copy of a packet is no longer needed.
+    /// The kept copy of the packet is no longer needed.
     SearchEnded,
-    /// The flow's opening packet waits here already.
+    /// The flow's opening packet is already queued here.
     OpeningQueued,
-    /// The opening packet has gone to another target since, or to the same one for its grant.
+    /// The opening packet has since gone to another target, or to the same one with its grant.
     OpeningElsewhere,
-    /// No target has room in time for the opening packet, but one that has got a copy of it
-    /// may have opened the flow.
+    /// No target has capacity in time, but a target that received a copy of the opening packet may
+    /// have opened the flow.
     OpeningRefused,
 }
 
 impl DropReason {
-    /// Label for logs and counters.
+    /// Label used in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             DropReason::NoConfiguration => "no_configuration",
@@ -133,43 +133,45 @@
     }
 }
 
-/// What was weighed when a target was chosen.
+/// Inputs of the selection of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SelectionInputs {
-    /// Targets that could be chosen.
+    /// Number of eligible targets.
     pub eligible: usize,
-    /// Believed load of the chosen target, in thousandths of its slots.
+    /// Estimated load of the selected target, in thousandths of its slots.
     pub load_permille: u64,
-    /// Milliseconds in which the chosen target is expected to answer, if its agent told.
+    /// Milliseconds in which the selected target is expected to answer, if its agent reported
+    /// times.
     pub expected_ms: Option<u64>,
-    /// Milliseconds since the chosen agent last spoke; none if never.
+    /// Milliseconds since the last report of the selected target's agent, or `None` without a
+    /// report.
     pub load_age_ms: Option<Millis>,
 }
 
-/// A packet's way to an agent.
+/// An agent to which a packet is forwarded, and how it is to be handled there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forward {
-    /// The agent.
+    /// Address of the agent.
     pub agent: Ipv4Addr,
-    /// The service that the agent must stand for.
+    /// The service that the agent's target must belong to.
     pub service: ServiceId,
-    /// Whether an opening packet goes before others of the service.
+    /// Whether an opening packet has priority over others of the service.
     pub urgent: bool,
-    /// Why this agent.
+    /// Why this agent was chosen.
     pub reason: ForwardReason,
-    /// The agents that a searching packet visits in turn after this one.
+    /// The agents that a search packet visits in turn after this one.
     pub next: Vec<Ipv4Addr>,
-    /// Further rows of agents that copies of a searching packet visit at the same time,
-    /// each row in turn.
+    /// Further paths that copies of a search packet take in parallel. Each path lists the agents
+    /// visited in turn.
     pub further_rows: Vec<Vec<Ipv4Addr>>,
-    /// What was weighed, if a target was chosen by load.
+    /// Inputs of the selection, if the target was selected by load.
     pub inputs: Option<SelectionInputs>,
-    /// Set if the packet uses the agent's grant of room: what still waits here.
+    /// The openings that remain queued here, if the packet uses the agent's grant of capacity.
     pub granted: Option<OpeningDemand>,
 }
 
 impl Forward {
-    /// A packet's way to one agent.
+    /// Forwards a packet to a single agent.
     pub(super) fn to(agent: Ipv4Addr, service: ServiceId, reason: ForwardReason) -> Self {
         Self {
             agent,
@@ -183,12 +185,12 @@
         }
     }
 
-    /// Whether the target is only guessed to hold the flow.
+    /// Whether the packet searches for the target that holds its flow.
     pub fn is_search(&self) -> bool {
         self.reason == ForwardReason::Search
     }
 
-    /// Whether an opening packet may wait at the agent until there is room.
+    /// Whether an opening packet may wait at the agent until its target has capacity.
     pub fn may_wait(&self) -> bool {
         self.reason == ForwardReason::OpeningWaits
     }
@@ -199,46 +201,46 @@
 pub enum Decision {
     /// Send it to an agent.
     Forward(Forward),
-    /// Tell the client at once that the flow will not go on.
+    /// Reset the flow, so that the client learns at once that it cannot continue.
     Reset {
         /// Sequence number of the reset.
         sequence: u32,
-        /// Why.
+        /// Why the flow is reset.
         reason: ResetReason,
     },
-    /// Leave it to a balancer that has the time for it.
+    /// Hand it off to another balancer that has processor time to spare.
     HandOff {
-        /// The balancer.
+        /// Address of that balancer.
         helper: Ipv4Addr,
     },
-    /// Let the opening packet wait here until a target has room.
+    /// Queue the opening packet here until a target has capacity.
     Queue {
-        /// Agents to be asked for room.
+        /// Agents to ask for capacity.
         ask: Vec<Ipv4Addr>,
-        /// The service that room is asked for.
+        /// The service for which capacity is requested.
         service: ServiceId,
-        /// What waits for it.
+        /// The openings queued for the service.
         demand: OpeningDemand,
-        /// What was weighed.
+        /// Inputs of the decision.
         inputs: QueueInputs,
     },
-    /// Do nothing.
+    /// Discard it.
     Drop(DropReason),
 }
 
 impl Decision {
-    /// Forwards a packet to an agent that was not chosen by load.
+    /// Forwards a packet to an agent that was not selected by load.
     pub(super) fn forward(agent: Ipv4Addr, service: ServiceId, reason: ForwardReason) -> Self {
         Decision::Forward(Forward::to(agent, service, reason))
     }
 
-    /// Sends a searching packet along each of these rows of agents: to the first of a
-    /// row, which passes it on to the others in turn. Without any, drops it.
-    pub(super) fn search(rows: &[Vec<Ipv4Addr>], service: ServiceId) -> Self {
-        let Some((first_row, further_rows)) = rows.split_first() else {
+    /// Sends a search packet along each of these paths, in parallel: to the first agent of a path,
+    /// which passes it on to the others in turn. Drops the packet if there are no paths.
+    pub(super) fn search(paths: &[Vec<Ipv4Addr>], service: ServiceId) -> Self {
+        let Some((first_path, further_rows)) = paths.split_first() else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
-        let Some((agent, next)) = first_row.split_first() else {
+        let Some((agent, next)) = first_path.split_first() else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
         let (next, further_rows) = (next.to_vec(), further_rows.to_vec());
--- a/crates/steering/src/balancer/granting.rs
+++ b/crates/steering/src/balancer/granting.rs
@@ -1,4 +1,4 @@
-//! Grants of room by agents, and what else ends the wait of openings.
+//! Handles capacity grants of agents, and openings whose wait ends without one.
 
 use std::net::Ipv4Addr;
 
@@ -11,29 +11,29 @@
 use crate::packet::{FlowKey, PacketHead};
 use crate::view::{Candidate, RouteChoice, Standing};
 
-/// An agent's word that its target has room for one opening packet.
+/// An agent's grant of capacity for one opening packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoomGrant {
-    /// The agent.
+    /// Address of the agent.
     pub agent: Ipv4Addr,
-    /// The service that the agent stands for.
+    /// The service of the agent's target.
     pub service: ServiceId,
-    /// Whether the room is for openings of urgent routes alone.
+    /// Whether only openings of urgent routes may use the grant.
     pub urgent_only: bool,
-    /// How busy the target is.
+    /// Current load of the target.
     pub load: TargetLoad,
 }
 
-/// A packet that waited and is decided about.
+/// A queued packet that has been decided about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledOpening {
-    /// Its head.
+    /// Head of the packet.
     pub head: PacketHead,
-    /// All of it.
+    /// The whole packet.
     pub bytes: Vec<u8>,
-    /// What becomes of it.
+    /// What to do with the packet.
     pub decision: Decision,
-    /// For how long it waited.
+    /// How long the packet was queued.
     pub waited_ms: Millis,
 }
 
@@ -47,30 +47,30 @@
 /// What a balancer does with an agent's grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GrantAnswer {
-    /// The opening that uses the grant; without one it is declined.
+    /// The opening that uses the grant. The grant is declined if there is none.
     pub granted: Option<SettledOpening>,
-    /// Openings that were found to wait no longer.
+    /// Openings that left the queue without using the grant.
     pub settled: Vec<SettledOpening>,
 }
 
-/// Agents to be asked for room.
+/// Agents to ask for capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoomRequest {
-    /// The agents.
+    /// Addresses of the agents.
     pub agents: Vec<Ipv4Addr>,
-    /// The service that room is asked for.
+    /// The service for which capacity is requested.
     pub service: ServiceId,
-    /// What waits.
+    /// The openings queued for the service.
     pub demand: OpeningDemand,
 }
 
 impl Balancer {
-    /// Takes an agent's grant for the opening that goes first.
+    /// Uses an agent's grant for the first opening in the queue that may have it.
     pub fn grant(&mut self, context: &Context<'_>, grant: &RoomGrant) -> GrantAnswer {
         self.statuses.granted(grant.agent, grant.load, context.now);
         let answer = self.answer_grant(context, grant);
         let urgent_only = grant.urgent_only && answer.granted.is_none();
-        let next = self.late_binding.flows_in_turn(grant.service, urgent_only).next();
+        let next = self.late_binding.flows_in_service_order(grant.service, urgent_only).next();
         if next.is_none() {
             self.late_binding.forget_asked(grant.agent);
         }
@@ -82,32 +82,34 @@
         let Some(target) = self.granting_target(context, grant) else {
             return GrantAnswer { granted: None, settled };
         };
-        while let Some(flow) = self.first_concerned(context, grant, &target) {
-            if self.still_fits(context, &flow, grant.service) {
+        while let Some(flow) = self.first_flow_for_grant(context, grant, &target) {
+            if self.still_belongs_to(context, &flow, grant.service) {
                 let granted = self.send_granted(context, &flow, grant);
                 return GrantAnswer { granted, settled };
             }
-            settled.extend(self.settle_anew(context, &flow));
+            settled.extend(self.reroute_opening(context, &flow));
         }
         GrantAnswer { granted: None, settled }
     }
 
-    /// The target that grants room, if it takes new flows by what this balancer knows.
+    /// Returns the target that grants capacity, unless this balancer knows that it accepts no new
+    /// flows.
     fn granting_target(&self, context: &Context<'_>, grant: &RoomGrant) -> Option<Candidate> {
         let first = self.late_binding.first_flow(grant.service)?;
         let is_granting = |candidate: &&Candidate| candidate.agent == grant.agent;
         let known = context.view.candidates(grant.service).iter().find(is_granting);
         if let Some(known) = known.filter(|known| known.standing == Standing::Ready) {
-            let takes_flows = !known.evacuated && !self.is_silent(known, context.now);
+            let takes_flows = !known.evacuated && !self.is_unresponsive(known, context.now);
             return takes_flows.then_some(*known);
         }
         let route = context.view.route(first.service)?;
         let eligible = self.eligible(context, route, grant.service, first.hash());
-        eligible.answering.iter().find(is_granting).copied()
+        eligible.responsive.iter().find(is_granting).copied()
     }
 
-    /// The first waiting flow that may use a grant, or that waits for the service no longer.
-    fn first_concerned(
+    /// Returns the first queued flow that either may use the grant or no longer belongs to the
+    /// service.
+    fn first_flow_for_grant(
         &self,
         context: &Context<'_>,
         grant: &RoomGrant,
@@ -118,18 +120,18 @@
             let is_tried = self.flows.tried(flow).contains(&target.agent);
             !is_tried && route.is_some_and(|route| route.allows(target.region))
         };
-        let mut flows = self.late_binding.flows_in_turn(grant.service, grant.urgent_only);
-        flows.find(|flow| !self.still_fits(context, flow, grant.service) || may_use(flow))
+        let mut flows = self.late_binding.flows_in_service_order(grant.service, grant.urgent_only);
+        flows.find(|flow| !self.still_belongs_to(context, flow, grant.service) || may_use(flow))
     }
 
-    /// Whether the configuration still sends a flow to a service.
-    fn still_fits(&self, context: &Context<'_>, flow: &FlowKey, service: ServiceId) -> bool {
+    /// Whether the configuration still maps a flow to a service.
+    fn still_belongs_to(&self, context: &Context<'_>, flow: &FlowKey, service: ServiceId) -> bool {
         let route = context.view.route(flow.service);
         route.and_then(|route| route.pick(flow.hash())) == Some(service)
     }
 
-    /// Decides anew about an opening whose route or service has changed.
-    fn settle_anew(&mut self, context: &Context<'_>, flow: &FlowKey) -> Option<SettledOpening> {
+    /// Decides again about an opening whose route or service has changed.
+    fn reroute_opening(&mut self, context: &Context<'_>, flow: &FlowKey) -> Option<SettledOpening> {
         let now = context.now;
         let opening = self.late_binding.give_up(flow, now)?;
         if let Some(entry) = self.flows.get_mut(flow) {
@@ -141,7 +143,7 @@
         Some(SettledOpening::new(opening, decision, now))
     }
 
-    /// Sends a waiting opening to the target that granted room.
+    /// Sends a queued opening to the target that granted capacity.
     fn send_granted(
         &mut self,
         context: &Context<'_>,
@@ -151,12 +153,13 @@
         let (now, service, agent) = (context.now, grant.service, grant.agent);
         let opening = self.late_binding.admit(flow, now)?;
         self.statuses.sent_opening(agent, now);
-        let is_forgotten = self.flows.get_mut(flow).is_none();
-        self.go_to(*flow, agent, FlowStage::Opening, now);
+        let was_evicted = self.flows.get_mut(flow).is_none();
+        self.assign_agent(*flow, agent, FlowStage::Opening, now);
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.granted = true;
-            if is_forgotten {
-                // A full table forgot it, and with it which targets have got a copy.
+            if was_evicted {
+                // The full flow table evicted the entry, so which targets received a copy is
+                // unknown.
                 entry.may_be_open = true;
                 entry.first_at = opening.queued_at;
                 entry.queued_at = Some(opening.queued_at);
@@ -169,7 +172,7 @@
         Some(SettledOpening::new(opening, Decision::Forward(forward), now))
     }
 
-    /// The openings whose budgets have ended.
+    /// Refuses the openings whose budgets have expired.
     pub fn due_refusals(&mut self, now: Millis) -> Vec<SettledOpening> {
         let mut refused = Vec::new();
         while let Some(opening) = self.late_binding.take_overdue(now) {
@@ -184,17 +187,17 @@
         refused
     }
 
-    /// Further agents to be asked for room, for services whose openings still wait: questions
-    /// and grants may be lost, and those asked may be full.
+    /// Returns further agents to ask for capacity, for services with queued openings. Requests and
+    /// grants may be lost, and the agents asked before may have no capacity.
     pub fn due_room_requests(&mut self, context: &Context<'_>) -> Vec<RoomRequest> {
         let now = context.now;
-        let services = self.late_binding.services_to_ask(now).into_iter();
+        let services = self.late_binding.services_due_for_request(now).into_iter();
         let requests = services.filter_map(|service| {
-            let flow = self.late_binding.flow_to_ask_for(service)?;
+            let flow = self.late_binding.flow_for_further_request(service)?;
             let route = context.view.route(flow.service);
             let eligible = route.map(|route| self.eligible(context, route, service, flow.hash()));
-            let answering = eligible.map(|eligible| eligible.answering).unwrap_or_default();
-            let agents = self.agents_to_ask(service, &answering, now);
+            let responsive = eligible.map(|eligible| eligible.responsive).unwrap_or_default();
+            let agents = self.agents_to_ask(service, &responsive, now);
             let demand = self.late_binding.demand(service, now);
             Some(RoomRequest { agents, service, demand })
         });
--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -1,5 +1,5 @@
-//! What a balancer keeps of the openings that wait at it: their order, the rate at which they
-//! find room, whom they are of, and which agents were asked for room.
+//! Tracks the openings queued at a balancer: their order, the rate of admissions, the callers they
+//! belong to, and which agents were asked for capacity.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -7,70 +7,75 @@
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId};
 
 use super::caller_shares::CallerShares;
-use super::opening_queue::{OpeningQueue, QueueClass, QueuedOpening, Turn};
+use super::opening_queue::{OpeningQueue, QueueClass, QueueEnd, QueuedOpening};
 use super::queue_delay::AdmissionRate;
 use crate::caller_rank::{CallerRank, caller_rank};
 use crate::class_share::others_are_due;
 use crate::packet::FlowKey;
 use crate::view::Candidate;
 
-/// Agents asked for room at a time.
-const ASKED_AT_ONCE: usize = 2;
-/// How often one agent is asked at most. Its grants are answered with what still waits.
-const ASK_AGAIN_MS: Millis = 100;
-/// How long after the last question further agents are asked: several times a journey there
-/// and back.
-const ASK_FURTHER_MS: Millis = 25;
-/// How long a service's typical time of a request counts before it is looked up again.
+/// Number of agents asked for capacity at a time.
+const AGENTS_ASKED_AT_ONCE: usize = 2;
+/// Minimum interval between two requests to the same agent. Answers to its grants report the
+/// remaining demand in the meantime.
+const MIN_REQUEST_INTERVAL_MS: Millis = 100;
+/// How long after the last request further agents are asked: several round-trip times.
+const FURTHER_REQUEST_DELAY_MS: Millis = 25;
+/// How long a service's typical service time is cached.
 const SERVICE_TIME_LIFETIME_MS: Millis = 100;
-/// How long a service is remembered after the last opening waited for it.
-const SERVICE_LIFETIME_MS: Millis = 10_000;
+/// How long a service is remembered after its last capacity request.
+const SERVICE_STATE_LIFETIME_MS: Millis = 10_000;
 
-/// Whether what waits of a class gets less by itself.
+/// Whether the queue of a class is shrinking without refusals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Trend {
-    /// Fewer openings come than find room.
+    /// Fewer openings arrive than are admitted.
     Draining,
-    /// As many come, or more, or it is not known.
+    /// At least as many openings arrive as are admitted, or the rates are unknown.
     Growing,
 }
 
-/// What is followed of one service.
+/// Per-service state.
 #[derive(Clone, Debug, Default)]
 struct ServiceState {
     urgent_rate: AdmissionRate,
-    others_rate: AdmissionRate,
-    /// Urgent openings that found room since one of the others did.
+    non_urgent_rate: AdmissionRate,
+    /// Urgent openings admitted since the last opening that was not urgent.
     urgent_in_row: u32,
-    /// When agents were last asked for room.
+    /// When agents were last asked for capacity.
     asked_at: Millis,
-    /// How often further agents were asked.
-    further_asks: usize,
-    /// The time of one request, and when it was looked up.
+    /// Number of times that further agents were asked.
+    further_requests: usize,
+    /// Cached typical service time, and when it was looked up.
     service_ms: Option<(Millis, Millis)>,
 }
 
 impl ServiceState {
     fn rate(&mut self, urgent: bool) -> &mut AdmissionRate {
-        if urgent { &mut self.urgent_rate } else { &mut self.others_rate }
+        if urgent { &mut self.urgent_rate } else { &mut self.non_urgent_rate }
     }
 }
 
-/// The openings that wait, and what decides about them.
+/// The queued openings and the state that decides on their admission.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateBinding {
     queue: OpeningQueue,
     shares: CallerShares,
     services: HashMap<ServiceId, ServiceState>,
-    /// When each agent was last asked for room.
+    /// When each agent was last asked for capacity.
     asked_at: HashMap<Ipv4Addr, Millis>,
 }
 
 impl LateBinding {
-    /// Lets an opening wait. Returns whether there was a place.
-    pub(super) fn push(&mut self, opening: QueuedOpening, turn: Turn, now: Millis) -> bool {
+    /// Queues an opening. Returns `false` if the queue is full.
+    pub(super) fn push(
+        &mut self,
+        opening: QueuedOpening,
+        queue_end: QueueEnd,
+        now: Millis,
+    ) -> bool {
         let (class, caller) = (opening.class, *opening.head.source.ip());
-        if !self.queue.push(opening, turn) {
+        if !self.queue.push(opening, queue_end) {
             return false;
         }
         self.shares.waits(caller);
@@ -78,7 +83,7 @@
         true
     }
 
-    /// Takes out an opening that found room.
+    /// Removes an opening that is admitted.
     pub(super) fn admit(&mut self, flow: &FlowKey, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.remove(flow)?;
         let class = opening.class;
@@ -86,27 +91,27 @@
         let state = self.service(class.service);
         state.rate(class.urgent).admitted(now);
         state.urgent_in_row = if class.urgent { state.urgent_in_row.saturating_add(1) } else { 0 };
-        self.note_left(class, now);
+        self.note_departure(class, now);
         Some(opening)
     }
 
-    /// Takes out an opening that waits for room no longer.
+    /// Removes an opening that no longer waits for capacity.
     pub(super) fn give_up(&mut self, flow: &FlowKey, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.remove(flow)?;
         self.shares.gave_up(*flow.client.ip());
-        self.note_left(opening.class, now);
+        self.note_departure(opening.class, now);
         Some(opening)
     }
 
-    /// Takes out an opening whose budget has ended.
+    /// Removes an opening whose budget has expired.
     pub(super) fn take_overdue(&mut self, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.take_overdue(now)?;
         self.shares.gave_up(*opening.head.source.ip());
-        self.note_left(opening.class, now);
+        self.note_departure(opening.class, now);
         Some(opening)
     }
 
-    fn note_left(&mut self, class: QueueClass, now: Millis) {
+    fn note_departure(&mut self, class: QueueClass, now: Millis) {
         if self.queue.waiting(class) == 0 {
             self.service(class.service).rate(class.urgent).waiting_ended(now);
         }
@@ -116,27 +121,28 @@
         self.services.entry(service).or_default()
     }
 
-    /// Whether a flow's opening waits.
+    /// Whether a flow's opening is queued.
     pub(super) fn contains(&self, flow: &FlowKey) -> bool {
         self.queue.contains(flow)
     }
 
-    /// How many openings of a class wait.
+    /// Number of queued openings of a class.
     pub(super) fn waiting(&self, class: QueueClass) -> usize {
         self.queue.waiting(class)
     }
 
-    /// How many openings wait.
+    /// Number of queued openings.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// What waits for a service.
+    /// Returns the openings queued for a service.
     pub(super) fn demand(&self, service: ServiceId, now: Millis) -> OpeningDemand {
         self.queue.demand(service, now)
     }
 
-    /// How long an opening with so many before it waits; none while too little is known.
+    /// Returns the expected wait behind `ahead` openings, or `None` if the admission rate is not
+    /// known yet.
     pub(super) fn expected_wait(
         &mut self,
         class: QueueClass,
@@ -146,20 +152,20 @@
         self.service(class.service).rate(class.urgent).expected_wait(ahead, now)
     }
 
-    /// Counts an opening that comes to wait. Returns how its class develops.
+    /// Counts an opening that arrives. Returns the trend of its class.
     pub(super) fn note_arrival(&mut self, class: QueueClass, now: Millis) -> Trend {
         let rate = self.service(class.service).rate(class.urgent);
         rate.arrived(now);
         if rate.is_draining(now) { Trend::Draining } else { Trend::Growing }
     }
 
-    /// The rank of a caller for one more opening.
+    /// Returns a caller's rank for one more opening.
     pub(super) fn rank(&mut self, caller: Ipv4Addr, unix_ms: u64, now: Millis) -> CallerRank {
         self.shares.rank(caller, caller_rank(caller, unix_ms), now)
     }
 
-    /// The flows that wait for a service, in the order in which they are served.
-    pub(super) fn flows_in_turn(
+    /// Returns the flows queued for a service, in the order in which they are served.
+    pub(super) fn flows_in_service_order(
         &self,
         service: ServiceId,
         urgent_only: bool,
@@ -169,36 +175,36 @@
         if !urgent_only && others_are_due(in_row) {
             classes.reverse();
         }
-        let taking = if urgent_only { 1 } else { classes.len() };
-        classes.into_iter().take(taking).flat_map(|class| self.queue.flows_of(class))
+        let class_count = if urgent_only { 1 } else { classes.len() };
+        classes.into_iter().take(class_count).flat_map(|class| self.queue.flows_of(class))
     }
 
-    /// The flow that is served first of a service.
+    /// Returns the first flow in the queue of a service.
     pub(super) fn first_flow(&self, service: ServiceId) -> Option<FlowKey> {
         self.flows_of(service).next()
     }
 
-    /// The flow on whose behalf further agents are asked: in turns the first one and each
-    /// other, as routes of one service may allow other targets.
-    pub(super) fn flow_to_ask_for(&mut self, service: ServiceId) -> Option<FlowKey> {
+    /// Returns the flow for which further agents are asked. Alternates between the first flow and
+    /// each of the others, because routes of one service may permit different targets.
+    pub(super) fn flow_for_further_request(&mut self, service: ServiceId) -> Option<FlowKey> {
         let state = self.service(service);
-        let turn = state.further_asks;
-        state.further_asks = turn.wrapping_add(1);
+        let requests_before = state.further_requests;
+        state.further_requests = requests_before.wrapping_add(1);
         let classes = QueueClass::of(service);
         let waiting: usize = classes.iter().map(|class| self.queue.waiting(*class)).sum();
-        let is_others_turn = waiting > 1 && turn % 2 == 1;
-        let place = if is_others_turn { 1 + turn / 2 % (waiting - 1) } else { 0 };
-        self.flows_of(service).nth(place)
+        let asks_for_other = waiting > 1 && requests_before % 2 == 1;
+        let position = if asks_for_other { 1 + requests_before / 2 % (waiting - 1) } else { 0 };
+        self.flows_of(service).nth(position)
     }
 
-    /// The flows that wait for a service, urgent ones first.
+    /// Returns the flows queued for a service, urgent ones first.
     fn flows_of(&self, service: ServiceId) -> impl Iterator<Item = FlowKey> {
         QueueClass::of(service).into_iter().flat_map(|class| self.queue.flows_of(class))
     }
 
-    /// The agents of the cheapest of these targets that were not asked for room lately; of
-    /// equal ones the first. They count as asked from now on.
-    pub(super) fn choose_asked<C: Ord>(
+    /// Selects the agents of the cheapest targets that were not asked for capacity recently; on
+    /// equal cost the first ones. Records them as asked.
+    pub(super) fn select_agents_to_ask<C: Ord>(
         &mut self,
         service: ServiceId,
         targets: &[Candidate],
@@ -208,15 +214,15 @@
         self.service(service).asked_at = now;
         let is_due = |target: &&Candidate| {
             let asked_at = self.asked_at.get(&target.agent);
-            asked_at.is_none_or(|at| now.saturating_sub(*at) >= ASK_AGAIN_MS)
+            asked_at.is_none_or(|at| now.saturating_sub(*at) >= MIN_REQUEST_INTERVAL_MS)
         };
-        let mut cheapest: Vec<(C, Ipv4Addr)> = Vec::with_capacity(ASKED_AT_ONCE + 1);
+        let mut cheapest: Vec<(C, Ipv4Addr)> = Vec::with_capacity(AGENTS_ASKED_AT_ONCE + 1);
         for target in targets.iter().filter(is_due) {
             let cost = cost(target);
-            let place = cheapest.partition_point(|(known, _)| *known <= cost);
-            if place < ASKED_AT_ONCE {
-                cheapest.insert(place, (cost, target.agent));
-                cheapest.truncate(ASKED_AT_ONCE);
+            let position = cheapest.partition_point(|(known, _)| *known <= cost);
+            if position < AGENTS_ASKED_AT_ONCE {
+                cheapest.insert(position, (cost, target.agent));
+                cheapest.truncate(AGENTS_ASKED_AT_ONCE);
             }
         }
         let asked: Vec<Ipv4Addr> = cheapest.into_iter().map(|(_, agent)| agent).collect();
@@ -224,22 +230,23 @@
         asked
     }
 
-    /// Notes that an agent was told that nothing waits here, so that it keeps no demand.
+    /// Records that an agent was sent an empty demand and therefore has none on record.
     pub(super) fn forget_asked(&mut self, agent: Ipv4Addr) {
         self.asked_at.remove(&agent);
     }
 
-    /// The services for which further agents are to be asked.
-    pub(super) fn services_to_ask(&self, now: Millis) -> Vec<ServiceId> {
+    /// Returns the services for which further agents are to be asked.
+    pub(super) fn services_due_for_request(&self, now: Millis) -> Vec<ServiceId> {
         let services = self.queue.services().into_iter();
-        services.filter(|service| self.ask_at(*service) <= now).collect()
+        services.filter(|service| self.next_request_at(*service) <= now).collect()
     }
 
-    fn ask_at(&self, service: ServiceId) -> Millis {
-        self.services.get(&service).map_or(0, |state| state.asked_at + ASK_FURTHER_MS)
+    fn next_request_at(&self, service: ServiceId) -> Millis {
+        self.services.get(&service).map_or(0, |state| state.asked_at + FURTHER_REQUEST_DELAY_MS)
     }
 
-    /// The service's time of one request, looked up by `find` now and then.
+    /// Returns the typical service time of a service, cached for [`SERVICE_TIME_LIFETIME_MS`] and
+    /// looked up by `find`.
     pub(super) fn service_ms(
         &mut self,
         service: ServiceId,
@@ -254,19 +261,20 @@
         }
     }
 
-    /// When something is to be done next; none while nothing waits.
+    /// When the next action is due, or `None` while the queue is empty.
     pub(super) fn next_due(&self) -> Option<Millis> {
         let services = self.queue.services().into_iter();
-        let next_ask = services.map(|service| self.ask_at(service)).min();
-        self.queue.next_budget_end().into_iter().chain(next_ask).min()
+        let next_request = services.map(|service| self.next_request_at(service)).min();
+        self.queue.next_deadline().into_iter().chain(next_request).min()
     }
 
-    /// Forgets what is too old.
+    /// Drops expired state.
     pub(super) fn expire(&mut self, now: Millis) {
-        self.asked_at.retain(|_, at| now.saturating_sub(*at) < ASK_AGAIN_MS);
+        self.asked_at.retain(|_, at| now.saturating_sub(*at) < MIN_REQUEST_INTERVAL_MS);
         let waiting = self.queue.services();
         self.services.retain(|service, state| {
-            waiting.contains(service) || now.saturating_sub(state.asked_at) < SERVICE_LIFETIME_MS
+            waiting.contains(service)
+                || now.saturating_sub(state.asked_at) < SERVICE_STATE_LIFETIME_MS
         });
     }
 }
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer's decisions about packets.
+//! Decides where a balancer sends each packet.
 
 mod caller_shares;
 mod decision;
@@ -35,75 +35,74 @@
 use late_binding::LateBinding;
 use undecided::UndecidedPackets;
 
-/// Most flows that a balancer remembers.
+/// Maximum number of flows in the flow table.
 const FLOW_CAPACITY: usize = 131_072;
-/// Idle time after which a flow is forgotten when no configuration states one.
+/// Idle time after which a flow is dropped from the table while there is no configuration.
 const DEFAULT_IDLE_MS: Millis = 60_000;
-/// Shortest idle time after which a flow is forgotten.
+/// Minimum idle time before a flow is dropped from the table.
 const SHORTEST_IDLE_MS: Millis = 5_000;
 
-/// What a decision is made from, beside the balancer's own state.
+/// Inputs of a decision besides the balancer's own state.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// Routes and targets in force.
+    /// Current routes and targets.
     pub view: &'a FleetView,
-    /// Whether the store's word is recent enough to refuse by.
+    /// Whether the store's data is recent enough to refuse flows on its basis.
     pub fresh: bool,
-    /// Balancers that take packets of unknown flows over; empty while this one has
-    /// the time to deal with them.
+    /// Balancers that take over packets of unknown flows; empty while this balancer has the
+    /// processor time to handle them itself.
     pub helpers: &'a [Ipv4Addr],
-    /// The time.
+    /// Monotonic time.
     pub now: Millis,
-    /// The time of day, in milliseconds since 1970. Machines disagree on it, and it may
-    /// jump.
+    /// Wall-clock time in milliseconds since 1970. It differs between machines and may jump.
     pub unix_ms: u64,
 }
 
-/// What a balancer's machine gives it.
+/// Resource limits of a balancer's machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BalancerLimits {
-    /// Processor time, in thousandths of a processor; none if not known.
+    /// Processor time in thousandths of a processor, or `None` if unknown.
     pub processor_permille: Option<u32>,
-    /// Rate of its link in kilobits a second; none if not known.
+    /// Link rate in kilobits per second, or `None` if unknown.
     pub link_kbps: Option<u32>,
 }
 
-/// A packet that a client wrote.
+/// A packet sent by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPacket<'a> {
-    /// Its head.
+    /// Head of the packet.
     pub head: &'a PacketHead,
-    /// All of it.
+    /// The whole packet.
     pub bytes: &'a [u8],
 }
 
-/// The state of a balancer that decisions need beside the view.
+/// A balancer's state, apart from routes and targets.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     flows: FlowTable,
     statuses: AgentStatuses,
-    /// Packets that look for their target, to be sent on without waiting for the
-    /// client to send them again.
+    /// Packets that search for their target. They are sent on without waiting for a retransmission
+    /// by the client.
     searches: PendingPackets,
     search_budget: SearchBudget,
     search_outcomes: SearchOutcomes,
     route_history: RouteHistory,
-    /// Packets that came before a configuration or a target was known.
+    /// Packets that arrived before a configuration or a target was known.
     undecided: UndecidedPackets,
-    /// Opening packets that wait until a target has room.
+    /// Opening packets queued until a target has capacity.
     late_binding: LateBinding,
-    /// When the store's word last became fresh.
-    regained_at: Millis,
+    /// When the store's data last became fresh again.
+    store_fresh_at: Millis,
     timing: Timing,
 }
 
 impl Balancer {
-    /// A balancer that has seen nothing.
+    /// Creates a balancer without any state.
     pub fn new(timing: Timing) -> Self {
         Self { timing, ..Self::with_capacity(FLOW_CAPACITY) }
     }
 
-    /// The same within the limits of its machine.
+    /// Creates a balancer that respects the limits of its machine.
     pub fn with_limits(timing: Timing, limits: BalancerLimits) -> Self {
         let undecided = limits.processor_permille.map(UndecidedPackets::with_processor_share);
         Self {
@@ -113,7 +112,7 @@
         }
     }
 
-    /// A balancer that remembers at most `capacity` flows.
+    /// Creates a balancer that remembers at most `capacity` flows.
     pub fn with_capacity(capacity: usize) -> Self {
         Self {
             flows: FlowTable::new(capacity),
@@ -124,19 +123,19 @@
             route_history: RouteHistory::default(),
             undecided: UndecidedPackets::default(),
             late_binding: LateBinding::default(),
-            regained_at: 0,
+            store_fresh_at: 0,
             timing: Timing::default(),
         }
     }
 
-    /// Number of flows remembered.
+    /// Number of flows in the flow table.
     pub fn flow_count(&self) -> usize {
         self.flows.len()
     }
 
-    /// Notes that the store's word is fresh again after it was not.
+    /// Records that the store's data is fresh again.
     pub fn store_regained(&mut self, now: Millis) {
-        self.regained_at = now;
+        self.store_fresh_at = now;
     }
 
     /// Decides about a client's packet.
@@ -144,29 +143,25 @@
         if packet.head.flags.bounced {
             return Decision::Drop(DropReason::BouncedByClient);
         }
-        let decision = self.decide_client_packet(context, packet);
+        let decision = self.route_client_packet(context, packet);
         self.keep_undecided(&decision, packet, context.now);
         decision
     }
 
-    fn decide_client_packet(
-        &mut self,
-        context: &Context<'_>,
-        packet: ClientPacket<'_>,
-    ) -> Decision {
-        if let Some(helper) = self.helper(context, packet.head) {
+    fn route_client_packet(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
+        if let Some(helper) = self.choose_helper(context, packet.head) {
             return Decision::HandOff { helper };
         }
         if packet.head.is_opening() {
-            return self.opening_packet(context, packet);
+            return self.decide_opening(context, packet);
         }
-        let decision = self.later_packet(context, packet.head);
+        let decision = self.decide_later_packet(context, packet.head);
         self.keep_for_search(&decision, packet, context);
         decision
     }
 
-    /// Decides about a client's packet that an agent sent back, and that it got with a grant
-    /// or without.
+    /// Decides about a client's packet that an agent returned. `granted` states whether the packet
+    /// was delivered with a grant.
     pub fn returned_packet(
         &mut self,
         context: &Context<'_>,
@@ -183,22 +178,22 @@
             | ReturnReason::Evacuated
             | ReturnReason::Busy => {}
         }
-        let opens = packet.head.is_opening();
+        let is_opening_packet = packet.head.is_opening();
         let flow = packet.head.client_flow();
         if self.is_queued(&flow) {
-            if opens {
+            if is_opening_packet {
                 return Decision::Drop(DropReason::OpeningQueued);
             }
-            self.leave_queue(&flow, context.now);
+            self.remove_from_queue(&flow, context.now);
         }
-        if opens && self.is_earlier_delivery(&flow, from, granted) {
+        if is_opening_packet && self.is_earlier_delivery(&flow, from, granted) {
             return Decision::Drop(DropReason::OpeningElsewhere);
         }
-        if let Some(known) = self.note_return(context, &flow, from, opens) {
+        if let Some(known) = self.record_return(context, &flow, from, is_opening_packet) {
             return known;
         }
-        if opens {
-            let decision = self.returned_opening(context, packet, from, reason);
+        if is_opening_packet {
+            let decision = self.decide_returned_opening(context, packet, from, reason);
             self.keep_undecided(&decision, packet, context.now);
             return decision;
         }
@@ -207,8 +202,8 @@
         decision
     }
 
-    /// Takes in that an agent's target answered a flow. Returns for how many
-    /// milliseconds the opening packet had waited, if this was its first answer.
+    /// Records that an agent's target answered a flow. If this was the first answer, returns the
+    /// milliseconds since the opening packet was sent to its current agent.
     pub fn holds(
         &mut self,
         flow: FlowKey,
@@ -218,14 +213,14 @@
         now: Millis,
     ) -> Option<Millis> {
         self.statuses.heard(from, load.into(), now);
-        self.leave_queue(&flow, now);
+        self.remove_from_queue(&flow, now);
         let entry = self.flows.get_mut(&flow)?;
         let was_opening = entry.stage == FlowStage::Opening;
         if matches!(entry.stage, FlowStage::Searching | FlowStage::Unheld) {
             self.search_outcomes.note(false, now);
         }
-        // Two targets may answer copies of one opening packet; the client goes on
-        // with one of them, and only that one's later packets confirm.
+        // Two targets may answer retransmissions of one opening packet. The client continues with
+        // one of them, and only later packets of that one confirm the flow.
         if confirmed || entry.stage != FlowStage::Held {
             entry.hold(from);
             self.searches.remove(&flow);
@@ -233,37 +228,37 @@
         was_opening.then(|| now.saturating_sub(entry.tried_at))
     }
 
-    /// Takes in an agent's sign of life that came with an answer to a packet.
+    /// Records a load report that came with an agent's answer to a packet.
     pub fn heard(&mut self, agent: Ipv4Addr, load: impl Into<TargetLoad>, now: Millis) {
         self.statuses.heard(agent, load.into(), now);
     }
 
-    /// Takes in the word of an agent, which runs in `zone`, about the target beside it.
+    /// Records an agent's report about its co-located target. The agent runs in `zone`.
     pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
         self.statuses.claimed(agent, zone, claim, now);
     }
 
-    /// Takes in an agent's answer to a probe.
+    /// Records an agent's answer to a probe.
     pub fn reached(&mut self, now: Millis) {
         self.statuses.reached(now);
     }
 
-    /// Takes in that an agent's target has ended: searches need not ask it.
+    /// Records that an agent's target has ended, so that searches skip it.
     pub fn target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
         self.statuses.target_ended(agent, now);
     }
 
-    /// Whether agents are to be probed, as openings stay unanswered.
+    /// Whether to probe agents because openings remain unanswered.
     pub fn doubts_reach(&self, now: Millis) -> bool {
         self.statuses.doubts_reach(now)
     }
 
-    /// Whether this balancer seems to be cut off from all agents.
+    /// Whether this balancer appears to be cut off from all agents.
     pub fn is_isolated(&self, now: Millis) -> bool {
         self.statuses.is_isolated(now)
     }
 
-    /// Forgets what is too old.
+    /// Drops expired state.
     pub fn expire(&mut self, view: &FleetView, now: Millis) {
         let idle_ms = view.idle_timeout_ms().unwrap_or(DEFAULT_IDLE_MS);
         self.flows.expire(now, idle_ms.max(SHORTEST_IDLE_MS));
@@ -272,9 +267,9 @@
         self.route_history.note(view);
     }
 
-    /// The balancer that takes a packet over: the same for all packets of a flow.
-    /// Flows that are known here cost little and stay.
-    fn helper(&mut self, context: &Context<'_>, head: &PacketHead) -> Option<Ipv4Addr> {
+    /// Returns the balancer that takes over a packet: the same one for all packets of a flow. Flows
+    /// that are known here stay, because they cost little.
+    fn choose_helper(&mut self, context: &Context<'_>, head: &PacketHead) -> Option<Ipv4Addr> {
         let flow = head.client_flow();
         let is_known = context.helpers.is_empty()
             || self.flows.get_mut(&flow).is_some()
@@ -283,11 +278,12 @@
         if is_known || !may_leave { None } else { rendezvous_first(flow.hash(), context.helpers) }
     }
 
-    fn later_packet(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
+    fn decide_later_packet(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
         let flow = head.client_flow();
         if self.is_queued(&flow) {
-            // Its client goes on: a copy of its opening packet was answered elsewhere.
-            self.leave_queue(&flow, context.now);
+            // The client continues the flow, so a retransmission of its opening packet was answered
+            // elsewhere.
+            self.remove_from_queue(&flow, context.now);
             self.flows.remove(&flow);
         }
         let Some(entry) = self.flows.get_mut(&flow) else {
@@ -298,29 +294,29 @@
         let reason = match entry.stage {
             FlowStage::Unheld | FlowStage::Queued => return self.search(context, head),
             FlowStage::Searching if search::is_stalled(entry, context.now) => {
-                return self.search_past_silence(context, head);
+                return self.search_past_unanswered(context, head);
             }
             FlowStage::Searching => return self.join_search(context, head),
             FlowStage::Opening | FlowStage::Held => ForwardReason::Held,
         };
-        let service = service_of(context.view, &flow, agent);
+        let service = service_of_agent(context.view, &flow, agent);
         Decision::forward(agent, service, reason)
     }
 
-    /// Notes in the flow's entry that an agent sent its packet back. Returns the
-    /// decision if the entry already says where the packet goes.
-    fn note_return(
+    /// Records in the flow's entry that an agent returned its packet. Returns a decision if the
+    /// entry already determines where the packet goes.
+    fn record_return(
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
         from: Ipv4Addr,
-        opens: bool,
+        is_opening_packet: bool,
     ) -> Option<Decision> {
-        let stage = if opens { FlowStage::Opening } else { FlowStage::Searching };
+        let stage = if is_opening_packet { FlowStage::Opening } else { FlowStage::Searching };
         let Some(entry) = self.flows.get_mut(flow) else {
             let mut entry = FlowEntry::new(from, stage, context.now);
             entry.tried.insert(from);
-            // What became of other copies of an opening packet is not known.
+            // It is unknown what happened to retransmissions of the opening packet.
             entry.may_be_open = true;
             self.flows.insert(*flow, entry);
             return None;
@@ -328,7 +324,7 @@
         match entry.stage {
             FlowStage::Held if entry.agent != from => {
                 let agent = entry.agent;
-                let service = service_of(context.view, flow, agent);
+                let service = service_of_agent(context.view, flow, agent);
                 Some(Decision::forward(agent, service, ForwardReason::Held))
             }
             FlowStage::Unheld => {
@@ -336,9 +332,9 @@
                 Some(Decision::Drop(DropReason::NobodyHoldsYet))
             }
             _ => {
-                if entry.stage == FlowStage::Opening && !opens {
-                    // What was tried for the opening packet was not asked for the flow: a
-                    // target whose answer did not come here in time may hold it.
+                if entry.stage == FlowStage::Opening && !is_opening_packet {
+                    // The agents tried with the opening packet were not asked for the flow: a
+                    // target whose answer did not arrive here in time may hold it.
                     entry.tried.clear();
                 }
                 entry.may_be_open |= matches!(entry.stage, FlowStage::Held | FlowStage::Searching);
@@ -349,8 +345,8 @@
         }
     }
 
-    /// The outcome for a packet to an address without a route.
-    fn without_route(view: &FleetView, head: &PacketHead) -> Decision {
+    /// Returns the decision for a packet whose destination has no route.
+    fn decide_without_route(view: &FleetView, head: &PacketHead) -> Decision {
         let sequence = if head.is_opening() { 0 } else { head.acknowledgment };
         match view.label() {
             None => Decision::Drop(DropReason::NoConfiguration),
@@ -358,12 +354,13 @@
         }
     }
 
-    /// Whether targets may live that have no record yet.
-    fn is_unsettled(&self, now: Millis) -> bool {
-        now < self.regained_at + self.timing.settle_ms
+    /// Whether targets without a record may still be alive, because the store's data became fresh
+    /// only recently.
+    fn is_settling(&self, now: Millis) -> bool {
+        now < self.store_fresh_at + self.timing.settle_ms
     }
 
-    fn go_to(&mut self, flow: FlowKey, agent: Ipv4Addr, stage: FlowStage, now: Millis) {
+    fn assign_agent(&mut self, flow: FlowKey, agent: Ipv4Addr, stage: FlowStage, now: Millis) {
         match self.flows.get_mut(&flow) {
             Some(entry) => {
                 entry.agent = agent;
@@ -382,13 +379,13 @@
     }
 }
 
-/// The service that an agent stands for in the view; for an agent that the view
-/// no longer has, the route's. Only opening packets are refused for it.
-fn service_of(view: &FleetView, flow: &FlowKey, agent: Ipv4Addr) -> ServiceId {
+/// Returns the service of an agent's target according to the view, or the route's service if the
+/// view no longer has the agent. Agents check the service only on opening packets.
+fn service_of_agent(view: &FleetView, flow: &FlowKey, agent: Ipv4Addr) -> ServiceId {
     let Some(route) = view.route(flow.service) else { return ServiceId(0) };
-    let stands_for = |service: &ServiceId| {
+    let serves = |service: &ServiceId| {
         view.candidates(*service).iter().any(|candidate| candidate.agent == agent)
     };
-    let by_agent = route.services().find(stands_for);
-    by_agent.or_else(|| route.pick(flow.hash())).unwrap_or(ServiceId(0))
+    let serving_agent = route.services().find(serves);
+    serving_agent.or_else(|| route.pick(flow.hash())).unwrap_or(ServiceId(0))
 }
--- a/crates/steering/src/balancer/opening.rs
+++ b/crates/steering/src/balancer/opening.rs
@@ -1,4 +1,4 @@
-//! Where opening packets go.
+//! Decides where opening packets go.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -6,47 +6,47 @@
 use weirhinge_fleet::{Millis, RegionId, ReturnReason, ServiceId};
 
 use super::decision::{Decision, DropReason, Forward, ForwardReason, ResetReason, SelectionInputs};
-use super::opening_queue::Turn;
+use super::opening_queue::QueueEnd;
 use super::queueing::QueuePlace;
-use super::{Balancer, ClientPacket, Context, service_of};
+use super::{Balancer, ClientPacket, Context, service_of_agent};
 use crate::expected_time::expected_ms;
 use crate::flow_table::{FlowEntry, FlowStage};
 use crate::packet::{FlowKey, OPENING_SPAN_MS, PacketHead};
 use crate::selection::{cheapest, load_permille, rendezvous_order};
 use crate::view::{Candidate, Distance, RouteChoice, Standing};
 
-/// Targets compared by load. Two even out almost as well as all would (the power
-/// of two choices) and keep the flow near the front of its order, where a balancer
-/// that does not know the flow looks first.
-const COMPARED: usize = 2;
+/// Number of targets compared by load. Comparing two balances load almost as well as comparing all
+/// (the power of two choices), and keeps the flow near the front of its rendezvous order, where a
+/// balancer that does not know the flow searches first.
+const TARGETS_COMPARED: usize = 2;
 
-/// Failing targets that send an opening packet back before one has to take it.
-const MOST_FAILING_RETURNS: u32 = 2;
+/// Number of failing targets that return an opening packet before one of them has to take it.
+const MAX_FAILING_RETURNS: u32 = 2;
 
-/// Targets that may take a new flow, each tier in the flow's order.
+/// Targets that may take a new flow, each tier in the flow's rendezvous order.
 pub(super) struct Eligible {
-    pub(super) answering: Vec<Candidate>,
-    /// Ready targets whose agent does not answer, is about to stop, or said that its
-    /// target fails.
-    silent: Vec<Candidate>,
+    pub(super) responsive: Vec<Candidate>,
+    /// Ready targets whose agent does not answer, is about to stop, or reported that its target is
+    /// failing.
+    unresponsive: Vec<Candidate>,
 }
 
 impl Eligible {
     fn is_empty(&self) -> bool {
-        self.answering.is_empty() && self.silent.is_empty()
+        self.responsive.is_empty() && self.unresponsive.is_empty()
     }
 
-    /// The targets that a flow did not try yet.
-    pub(super) fn without(mut self, tried: &BTreeSet<Ipv4Addr>) -> Self {
+    /// Removes the targets that the flow has already tried.
+    pub(super) fn without_tried(mut self, tried: &BTreeSet<Ipv4Addr>) -> Self {
         let is_untried = |candidate: &Candidate| !tried.contains(&candidate.agent);
-        self.answering.retain(is_untried);
-        self.silent.retain(is_untried);
+        self.responsive.retain(is_untried);
+        self.unresponsive.retain(is_untried);
         self
     }
 }
 
 impl Balancer {
-    pub(super) fn opening_packet(
+    pub(super) fn decide_opening(
         &mut self,
         context: &Context<'_>,
         packet: ClientPacket<'_>,
@@ -56,7 +56,7 @@
         if self.is_queued(&flow) {
             return Decision::Drop(DropReason::OpeningQueued);
         }
-        let granted_by = self.granted_lately(&flow, now);
+        let granted_by = self.recently_granted_agent(&flow, now);
         let is_copy = |entry: &FlowEntry| {
             matches!(entry.stage, FlowStage::Opening | FlowStage::Held)
                 && now.saturating_sub(entry.tried_at) < OPENING_SPAN_MS
@@ -68,17 +68,18 @@
         entry.used_at = now;
         let agent = entry.agent;
         if entry.stage == FlowStage::Held {
-            // It took the opening that answered its grant; the copy goes without one.
+            // The target took the opening that used its grant; the retransmission is sent without
+            // one.
             entry.granted = false;
         }
         if entry.stage == FlowStage::Held || granted_by.is_some() {
-            // The target may take the copy though it sends the first packet back.
+            // The target may accept the retransmission even if it returns the first packet.
             entry.may_be_open = true;
-            let service = service_of(context.view, &flow, agent);
+            let service = service_of_agent(context.view, &flow, agent);
             return Decision::forward(agent, service, ForwardReason::OpeningRepeated);
         }
         if entry.has_waited {
-            let service = service_of(context.view, &flow, agent);
+            let service = service_of_agent(context.view, &flow, agent);
             return Decision::forward(agent, service, ForwardReason::OpeningWaits);
         }
         entry.tried.insert(agent);
@@ -86,35 +87,35 @@
         self.choose_target(context, packet, ForwardReason::OpeningMoved)
     }
 
-    /// An opening packet that a busy target sent back waits at the least loaded one, and
-    /// so does one that met several failing targets, which then take it; others go on to
-    /// a target that they did not try yet.
-    pub(super) fn returned_opening(
+    /// An opening packet returned by a busy target waits at the least loaded target. So does one
+    /// returned by several failing targets, and that target then has to take it. Any other opening
+    /// packet goes to a target that it has not tried yet.
+    pub(super) fn decide_returned_opening(
         &mut self,
         context: &Context<'_>,
         packet: ClientPacket<'_>,
         from: Ipv4Addr,
         returned: ReturnReason,
     ) -> Decision {
-        if let Some(decision) = self.returned_to_queue(context, packet, from, returned) {
+        if let Some(decision) = self.requeue_returned(context, packet, from, returned) {
             return decision;
         }
         let flow = packet.head.client_flow();
-        let goes_on = match returned {
+        let tries_another = match returned {
             ReturnReason::Busy => false,
-            ReturnReason::Failing => self.passes_failing(context, packet.head),
+            ReturnReason::Failing => self.skip_failing(context, packet.head),
             ReturnReason::Bounced | ReturnReason::OtherService => true,
             ReturnReason::Leaving | ReturnReason::Evacuated => {
-                self.forget_wait(&flow);
+                self.allow_another_wait(&flow);
                 true
             }
         };
-        let Some(entry) = self.flows.get_mut(&flow).filter(|_| !goes_on) else {
+        let Some(entry) = self.flows.get_mut(&flow).filter(|_| !tries_another) else {
             return self.choose_target(context, packet, ForwardReason::OpeningReturned);
         };
         if entry.has_waited {
-            // It waited for nearly as long as the client does, or had to make room for
-            // newer ones; it gets its answer now.
+            // The packet waited nearly as long as its client does, or was displaced by newer ones.
+            // It is refused now.
             return self.refuse(&flow, ResetReason::Refused);
         }
         entry.has_waited = true;
@@ -122,31 +123,31 @@
         self.choose_target(context, packet, ForwardReason::OpeningWaits)
     }
 
-    /// An opening packet may have waited at a target that now takes no new flows: it did
-    /// not get its turn there, and may wait once more at another one.
-    fn forget_wait(&mut self, flow: &FlowKey) {
+    /// Lets an opening packet wait once more at another target. It may have waited at a target that
+    /// stopped accepting new flows before the packet's turn came.
+    fn allow_another_wait(&mut self, flow: &FlowKey) {
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.has_waited = false;
         }
     }
 
-    /// Whether an opening packet that a failing target sent back tries another one: only
-    /// a few times, as most of them may fail.
-    fn passes_failing(&mut self, context: &Context<'_>, head: &PacketHead) -> bool {
+    /// Whether an opening packet returned by a failing target tries another one. It does so only a
+    /// few times, because most targets may be failing.
+    fn skip_failing(&mut self, context: &Context<'_>, head: &PacketHead) -> bool {
         let flow = head.client_flow();
         let Some(entry) = self.flows.get_mut(&flow) else { return true };
         entry.failing_returns += 1;
-        if entry.failing_returns >= MOST_FAILING_RETURNS {
+        if entry.failing_returns >= MAX_FAILING_RETURNS {
             return false;
         }
         let Some(route) = context.view.route(head.destination) else { return false };
         route.pick(flow.hash()).is_some_and(|service| {
             let eligible = self.eligible(context, route, service, flow.hash());
-            !eligible.without(self.flows.tried(&flow)).is_empty()
+            !eligible.without_tried(self.flows.tried(&flow)).is_empty()
         })
     }
 
-    /// Chooses a target for an opening packet among those not tried yet.
+    /// Selects a target for an opening packet among those not tried yet.
     pub(super) fn choose_target(
         &mut self,
         context: &Context<'_>,
@@ -156,25 +157,27 @@
         let (now, head) = (context.now, packet.head);
         let flow = head.client_flow();
         let Some(route) = context.view.route(head.destination) else {
-            return Self::without_route(context.view, head);
+            return Self::decide_without_route(context.view, head);
         };
         let Some(service) = route.pick(flow.hash()) else {
             return Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
         };
         let eligible = self.eligible(context, route, service, flow.hash());
         let any_eligible = !eligible.is_empty();
-        let untried = eligible.without(self.flows.tried(&flow));
-        let is_forced = reason == ForwardReason::OpeningWaits || untried.answering.is_empty();
+        let untried = eligible.without_tried(self.flows.tried(&flow));
+        let is_forced = reason == ForwardReason::OpeningWaits || untried.responsive.is_empty();
         if !is_forced && self.must_queue(route, service) {
-            let targets = &untried.answering;
-            let place = QueuePlace { route, service, turn: Turn::Last, targets };
+            let targets = &untried.responsive;
+            let place = QueuePlace { route, service, queue_end: QueueEnd::Back, targets };
             return self.queue_opening(context, packet, &place);
         }
-        // A target that does not answer looks idle: it is never compared by load.
-        let tier = if untried.answering.is_empty() { &untried.silent } else { &untried.answering };
-        let compared = if reason == ForwardReason::OpeningWaits { tier.len() } else { COMPARED };
+        // An unresponsive target appears idle, so it is never compared by load.
+        let tier =
+            if untried.responsive.is_empty() { &untried.unresponsive } else { &untried.responsive };
+        let compared =
+            if reason == ForwardReason::OpeningWaits { tier.len() } else { TARGETS_COMPARED };
         let Some(chosen) = cheapest(tier, compared, &self.statuses, now) else {
-            return self.nobody_takes(context, &flow, any_eligible, reason);
+            return self.decide_without_target(context, &flow, any_eligible, reason);
         };
         let inputs = SelectionInputs {
             eligible: tier.len(),
@@ -184,41 +187,41 @@
         };
         self.statuses.sent_opening(chosen.agent, now);
         let is_new = self.flows.get_mut(&flow).is_none();
-        self.go_to(flow, chosen.agent, FlowStage::Opening, now);
+        self.assign_agent(flow, chosen.agent, FlowStage::Opening, now);
         if is_new {
-            self.note_first_packet(head, now);
+            self.record_first_packet(head, now);
         }
         let forward = Forward::to(chosen.agent, service, reason);
         let (urgent, inputs) = (route.is_urgent(), Some(inputs));
         Decision::Forward(Forward { urgent, inputs, ..forward })
     }
 
-    /// The outcome for an opening packet that no untried target can get.
-    fn nobody_takes(
+    /// Returns the decision for an opening packet for which no untried target is left.
+    fn decide_without_target(
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
         any_eligible: bool,
         reason: ForwardReason,
     ) -> Decision {
-        // Silent targets may yet answer the next copy, those that sent the packet
-        // back will not take it now.
+        // Unresponsive targets may still answer the next retransmission, but those that returned
+        // the packet will not take it now.
         if any_eligible && reason == ForwardReason::OpeningReturned {
             return self.refuse(flow, ResetReason::Refused);
         }
         self.flows.remove(flow);
-        let settled = context.fresh && !self.is_unsettled(context.now);
+        let is_settled = context.fresh && !self.is_settling(context.now);
         if !any_eligible && self.is_evacuated(context, flow) {
             return Decision::Reset { sequence: 0, reason: ResetReason::Evacuated };
         }
-        if !any_eligible && settled {
+        if !any_eligible && is_settled {
             return Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
         }
         Decision::Drop(DropReason::NoTargetYet)
     }
 
-    /// Whether a flow's service has ready targets, but in evacuated zones alone. That is
-    /// known without any news of the store: nothing is waited for.
+    /// Whether all ready targets of a flow's service are in evacuated zones. This is known even
+    /// without recent store data, so the refusal need not wait for any.
     fn is_evacuated(&self, context: &Context<'_>, flow: &FlowKey) -> bool {
         let route = context.view.route(flow.service);
         let service = route.and_then(|route| route.pick(flow.hash()));
@@ -230,8 +233,8 @@
         })
     }
 
-    /// Targets that may take a new flow: ready ones, or where none of them answers
-    /// also those that lost their record but may well live.
+    /// Returns the targets that may take a new flow: ready ones or, if none of them responds, also
+    /// those that lost their record but may still be alive.
     pub(super) fn eligible(
         &self,
         context: &Context<'_>,
@@ -248,55 +251,57 @@
         };
         let ready = candidates.iter().filter(is_ready);
         let ready = rendezvous_order(flow_hash, ready);
-        let is_silent = |candidate: &Candidate| self.is_silent(candidate, now);
-        let (silent, mut answering): (Vec<_>, Vec<_>) = ready.into_iter().partition(is_silent);
-        if answering.is_empty() {
-            let mut unrecorded = self.unrecorded(context, candidates, service);
-            unrecorded.retain(|candidate| route.allows(candidate.region));
-            answering = rendezvous_order(flow_hash, unrecorded.iter());
-            answering.retain(|candidate| !is_silent(candidate));
+        let is_unresponsive = |candidate: &Candidate| self.is_unresponsive(candidate, now);
+        let (unresponsive, mut responsive): (Vec<_>, Vec<_>) =
+            ready.into_iter().partition(is_unresponsive);
+        if responsive.is_empty() {
+            let mut unrecorded_targets = self.unrecorded_targets(context, candidates, service);
+            unrecorded_targets.retain(|candidate| route.allows(candidate.region));
+            responsive = rendezvous_order(flow_hash, unrecorded_targets.iter());
+            responsive.retain(|candidate| !is_unresponsive(candidate));
         }
-        Eligible { answering, silent }
+        Eligible { responsive, unresponsive }
     }
 
-    /// Whether a target does not answer, is about to stop, or fails.
-    pub(super) fn is_silent(&self, candidate: &Candidate, now: Millis) -> bool {
+    /// Whether a target does not answer, is about to stop, or is failing.
+    pub(super) fn is_unresponsive(&self, candidate: &Candidate, now: Millis) -> bool {
         self.statuses.is_suspect(candidate, now) || self.statuses.is_failing(candidate, now)
     }
 
-    /// Targets without a record that may take flows where no other does.
-    fn unrecorded(
+    /// Returns targets without a record, which may take flows when no other target does.
+    fn unrecorded_targets(
         &self,
         context: &Context<'_>,
         candidates: &[Candidate],
         service: ServiceId,
     ) -> Vec<Candidate> {
         let now = context.now;
-        let unsettled = !context.fresh || self.is_unsettled(now);
+        let is_uncertain = !context.fresh || self.is_settling(now);
         let grace_ms = self.timing.vanished_grace_ms;
-        let may_live = |candidate: &&Candidate| match candidate.standing {
+        let may_be_alive = |candidate: &&Candidate| match candidate.standing {
             Standing::Vanished(at) => {
-                !candidate.evacuated && (unsettled || now.saturating_sub(at) < grace_ms)
+                !candidate.evacuated && (is_uncertain || now.saturating_sub(at) < grace_ms)
             }
             Standing::Ready | Standing::Leaving => false,
         };
-        let mut unrecorded: Vec<Candidate> = candidates.iter().filter(may_live).copied().collect();
-        if unsettled {
+        let mut unrecorded_targets: Vec<Candidate> =
+            candidates.iter().filter(may_be_alive).copied().collect();
+        if is_uncertain {
             for agent in self.statuses.claimants(service, now) {
                 let zone = self.statuses.claimed_zone(agent);
                 let is_evacuated = zone.is_some_and(|zone| context.view.is_evacuated(zone));
                 let is_known = candidates.iter().any(|candidate| candidate.agent == agent);
                 if !is_known && !is_evacuated {
                     let region = zone.and_then(|zone| context.view.region_of(zone));
-                    unrecorded.push(claimed_candidate(agent, region, now));
+                    unrecorded_targets.push(claimed_candidate(agent, region, now));
                 }
             }
         }
-        unrecorded
+        unrecorded_targets
     }
 }
 
-/// A target known by its agent's word alone.
+/// A target known only from its agent's reports.
 fn claimed_candidate(agent: Ipv4Addr, region: Option<RegionId>, now: Millis) -> Candidate {
     Candidate {
         agent,
--- a/crates/steering/src/balancer/opening_queue.rs
+++ b/crates/steering/src/balancer/opening_queue.rs
@@ -1,4 +1,5 @@
-//! Opening packets that wait at a balancer until any target of their service has room.
+//! Queue of the opening packets that wait at a balancer until any target of their service has
+//! capacity.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,11 +7,11 @@
 
 use crate::packet::{FlowKey, PacketHead};
 
-/// Most openings that wait, of all services: what a balancer forwards within the longest
-/// budget at 3,000 openings a second.
+/// Maximum number of queued openings of all services: what a balancer forwards within the longest
+/// budget at 3,000 openings per second.
 const QUEUE_CAPACITY: usize = 4_096;
 
-/// Openings of one service that are served first come first served.
+/// Openings of one service that are served in first-come, first-served order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct QueueClass {
     pub(super) service: ServiceId,
@@ -18,83 +19,84 @@
 }
 
 impl QueueClass {
-    /// The classes of a service, the urgent one first.
+    /// Returns the classes of a service, the urgent one first.
     pub(super) fn of(service: ServiceId) -> [Self; 2] {
         [true, false].map(|urgent| Self { service, urgent })
     }
 }
 
-/// Where an opening joins its class.
+/// The end of its class at which an opening is queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
-    /// Before all others: it had its turn, and did not find the room that was promised.
-    First,
+pub(super) enum QueueEnd {
+    /// Ahead of all others: the opening already had its turn, but the target that granted capacity
+    /// returned it.
+    Front,
     /// Behind all others.
-    Last,
+    Back,
 }
 
-/// An opening packet that waits.
+/// A queued opening packet.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedOpening {
     pub(super) head: PacketHead,
     pub(super) bytes: Vec<u8>,
     pub(super) class: QueueClass,
-    /// When it began to wait.
+    /// When the opening was queued first.
     pub(super) queued_at: Millis,
-    /// Until when it may wait.
-    pub(super) budget_end: Millis,
+    /// Latest time until which the opening may wait.
+    pub(super) deadline: Millis,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct QueueEntry {
     opening: QueuedOpening,
-    ticket: i64,
+    order_key: i64,
 }
 
-/// The openings that wait, of all services.
+/// The queued openings of all services.
 #[derive(Clone, Debug)]
 pub(super) struct OpeningQueue {
-    places: HashMap<FlowKey, Place>,
-    /// The flows of each class in their order; no class is empty.
+    entries: HashMap<FlowKey, QueueEntry>,
+    /// The flows of each class in queue order. Classes without flows are removed.
     classes: HashMap<QueueClass, BTreeMap<i64, FlowKey>>,
-    budget_ends: BTreeSet<(Millis, FlowKey)>,
+    deadlines: BTreeSet<(Millis, FlowKey)>,
     capacity: usize,
 }
 
 impl OpeningQueue {
-    /// A queue of at most `capacity` openings.
+    /// Creates a queue of at most `capacity` openings.
     pub(super) fn with_capacity(capacity: usize) -> Self {
         Self {
-            places: HashMap::new(),
+            entries: HashMap::new(),
             classes: HashMap::new(),
-            budget_ends: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             capacity,
         }
     }
 
-    /// Adds an opening whose flow does not wait yet. Returns whether there was a place.
-    pub(super) fn push(&mut self, opening: QueuedOpening, turn: Turn) -> bool {
+    /// Adds an opening. Returns `false` if the queue is full or the flow is already queued.
+    pub(super) fn push(&mut self, opening: QueuedOpening, queue_end: QueueEnd) -> bool {
         let flow = opening.head.client_flow();
-        if self.places.len() >= self.capacity || self.contains(&flow) {
+        if self.entries.len() >= self.capacity || self.contains(&flow) {
             return false;
         }
         let order = self.classes.entry(opening.class).or_default();
-        let ticket = match turn {
-            Turn::First => order.first_key_value().map_or(0, |(first, _)| first - 1),
-            Turn::Last => order.last_key_value().map_or(0, |(last, _)| last + 1),
+        let order_key = match queue_end {
+            QueueEnd::Front => order.first_key_value().map_or(0, |(first, _)| first - 1),
+            QueueEnd::Back => order.last_key_value().map_or(0, |(last, _)| last + 1),
         };
-        order.insert(ticket, flow);
-        self.budget_ends.insert((opening.budget_end, flow));
-        self.places.insert(flow, Place { opening, ticket });
+        order.insert(order_key, flow);
+        self.deadlines.insert((opening.deadline, flow));
+        self.entries.insert(flow, QueueEntry { opening, order_key });
         true
     }
 
-    /// Takes a flow's opening out.
+    /// Removes a flow's opening.
     pub(super) fn remove(&mut self, flow: &FlowKey) -> Option<QueuedOpening> {
-        let Place { opening, ticket } = self.places.remove(flow)?;
-        self.budget_ends.remove(&(opening.budget_end, *flow));
+        let QueueEntry { opening, order_key } = self.entries.remove(flow)?;
+        self.deadlines.remove(&(opening.deadline, *flow));
         if let Some(order) = self.classes.get_mut(&opening.class) {
-            order.remove(&ticket);
+            order.remove(&order_key);
             if order.is_empty() {
                 self.classes.remove(&opening.class);
             }
@@ -102,32 +104,32 @@
         Some(opening)
     }
 
-    /// Takes out an opening whose budget has ended.
+    /// Removes an opening whose budget has expired.
     pub(super) fn take_overdue(&mut self, now: Millis) -> Option<QueuedOpening> {
-        let (budget_end, flow) = *self.budget_ends.first()?;
-        if budget_end > now {
+        let (deadline, flow) = *self.deadlines.first()?;
+        if deadline > now {
             return None;
         }
         self.remove(&flow)
     }
 
-    /// The flows of a class in their order.
+    /// Returns the flows of a class in queue order.
     pub(super) fn flows_of(&self, class: QueueClass) -> impl Iterator<Item = FlowKey> {
         self.classes.get(&class).into_iter().flat_map(BTreeMap::values).copied()
     }
 
-    /// The first opening of a class.
+    /// Returns the first opening of a class.
     pub(super) fn first_of(&self, class: QueueClass) -> Option<&QueuedOpening> {
         let flow = self.flows_of(class).next()?;
-        self.places.get(&flow).map(|place| &place.opening)
+        self.entries.get(&flow).map(|entry| &entry.opening)
     }
 
-    /// How many openings of a class wait.
+    /// Number of queued openings of a class.
     pub(super) fn waiting(&self, class: QueueClass) -> usize {
         self.classes.get(&class).map_or(0, BTreeMap::len)
     }
 
-    /// What waits for a service.
+    /// Returns the openings queued for a service.
     pub(super) fn demand(&self, service: ServiceId, now: Millis) -> OpeningDemand {
         let classes = QueueClass::of(service);
         let [urgent, others] = classes.map(|class| self.waiting_openings(class, now));
@@ -142,24 +144,24 @@
         }
     }
 
-    /// The services that openings wait for.
+    /// Returns the services with queued openings.
     pub(super) fn services(&self) -> BTreeSet<ServiceId> {
         self.classes.keys().map(|class| class.service).collect()
     }
 
-    /// Whether a flow's opening waits.
+    /// Whether a flow's opening is queued.
     pub(super) fn contains(&self, flow: &FlowKey) -> bool {
-        self.places.contains_key(flow)
+        self.entries.contains_key(flow)
     }
 
-    /// When the first budget ends; none while nothing waits.
-    pub(super) fn next_budget_end(&self) -> Option<Millis> {
-        self.budget_ends.first().map(|(budget_end, _)| *budget_end)
+    /// When the next budget expires, or `None` while the queue is empty.
+    pub(super) fn next_deadline(&self) -> Option<Millis> {
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// How many openings wait.
+    /// Number of queued openings.
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 }
 
--- a/crates/steering/src/balancer/queueing.rs
+++ b/crates/steering/src/balancer/queueing.rs
@@ -1,7 +1,7 @@
-//! Openings that find no room wait here until any target of their service grants some.
+//! Queues openings that find no capacity until any target of their service grants some.
 //!
-//! Which target serves an opening is decided when one has room, not when the opening comes
-//! (late binding): no opening waits at a busy target while another one is idle. Concerns
+//! The target of an opening is chosen when one has capacity, not when the opening arrives (late
+//! binding), so no opening waits at a busy target while another target is idle. This applies to
 //! routes that state an objective.
 
 use std::net::Ipv4Addr;
@@ -11,7 +11,7 @@
 use super::decision::{Decision, DropReason, QueueInputs, ResetReason};
 use super::late_binding::Trend;
 use super::opening::Eligible;
-use super::opening_queue::{QueueClass, QueuedOpening, Turn};
+use super::opening_queue::{QueueClass, QueueEnd, QueuedOpening};
 use super::queue_delay::may_wait;
 use super::{Balancer, ClientPacket, Context};
 use crate::caller_rank::CallerRank;
@@ -20,62 +20,64 @@
 use crate::selection::TargetCosts;
 use crate::view::{Candidate, Distance, RouteChoice};
 
-/// Time of a flow that neither the queue nor the target sees: a handshake and the way of the
-/// request and its answer, between zones.
-const JOURNEY_MS: Millis = 30;
-/// Time of a request at a target when no agent has told.
+/// Time of a request that is spent neither in the queue nor at the target: a handshake and the
+/// transit of the request and its answer, between zones.
+const TRANSIT_MS: Millis = 30;
+/// Service time assumed if no agent has reported one.
 const DEFAULT_SERVICE_MS: Millis = 50;
-/// A client gives up an attempt to open a flow this long after its first packet.
-const ATTEMPT_MS: Millis = 1_400;
-/// When a client sends the copies of an opening packet, after the first one.
-const COPIES_AFTER_MS: [Millis; 3] = [0, 200, 600];
-/// A copy that comes within this time after the opening was sent for a grant goes to the
-/// same target: after it, the target counts as silent.
-const GRANT_ANSWER_MS: Millis = 150;
-
-/// Where an opening is to wait.
+/// A client abandons an attempt to open a flow this long after its first packet.
+const ATTEMPT_TIMEOUT_MS: Millis = 1_400;
+/// When a client sends the first opening packet and its retransmissions, relative to the first.
+const TRANSMISSIONS_AFTER_MS: [Millis; 3] = [0, 200, 600];
+/// A retransmission that arrives within this time after the opening was sent with a grant goes to
+/// the same target. After this time, the target counts as unresponsive.
+const GRANT_ANSWER_TIMEOUT_MS: Millis = 150;
+
+/// Where an opening is to be queued.
 pub(super) struct QueuePlace<'a> {
     pub(super) route: &'a RouteChoice,
     pub(super) service: ServiceId,
-    pub(super) turn: Turn,
-    /// The answering targets that may take it.
+    pub(super) queue_end: QueueEnd,
+    /// The responsive targets that may take it.
     pub(super) targets: &'a [Candidate],
 }
 
-/// When an opening's flow began, and until when it may wait.
-struct Budget {
+/// The deadlines of a queued opening.
+struct Deadlines {
     /// Until when its answer would still meet the route's objective.
-    objective_end: Millis,
-    /// Until when its caller is there.
-    patience_end: Millis,
+    objective_deadline: Millis,
+    /// Until when its caller waits for an answer.
+    caller_deadline: Millis,
 }
 
-impl Budget {
+impl Deadlines {
     fn new(route: &RouteChoice, first_at: Millis, service_ms: Millis) -> Self {
-        let needed_ms = service_ms + JOURNEY_MS;
-        let before = |limit: Millis| first_at + limit.saturating_sub(needed_ms);
-        let attempt_end = first_at + ATTEMPT_MS - JOURNEY_MS;
-        let patience_end = route.timeout_ms().map_or(attempt_end, before).min(attempt_end);
-        let objective_end = route.objective_ms().map_or(patience_end, before).min(patience_end);
-        Self { objective_end, patience_end }
+        let needed_ms = service_ms + TRANSIT_MS;
+        let latest_for = |limit: Millis| first_at + limit.saturating_sub(needed_ms);
+        let attempt_deadline = first_at + ATTEMPT_TIMEOUT_MS - TRANSIT_MS;
+        let caller_deadline =
+            route.timeout_ms().map_or(attempt_deadline, latest_for).min(attempt_deadline);
+        let objective_deadline =
+            route.objective_ms().map_or(caller_deadline, latest_for).min(caller_deadline);
+        Self { objective_deadline, caller_deadline }
     }
 
-    /// The end of the wait. An opening that is too late for its objective may still wait
-    /// where it holds up no other.
-    fn end(&self, nothing_waits: bool, now: Millis) -> Millis {
-        let is_late = self.objective_end <= now;
-        if is_late && nothing_waits { self.patience_end } else { self.objective_end }
+    /// Returns when the wait must end. An opening that is already too late for its objective may
+    /// still wait if it delays no other opening.
+    fn wait_deadline(&self, queue_is_empty: bool, now: Millis) -> Millis {
+        let is_late = self.objective_deadline <= now;
+        if is_late && queue_is_empty { self.caller_deadline } else { self.objective_deadline }
     }
 }
 
 impl Balancer {
-    /// Whether an opening that comes now queues behind others of its class.
+    /// Whether an opening that arrives now has to queue behind others of its class.
     pub(super) fn must_queue(&self, route: &RouteChoice, service: ServiceId) -> bool {
         let class = QueueClass { service, urgent: route.is_urgent() };
         route.objective_ms().is_some() && self.late_binding.waiting(class) > 0
     }
 
-    /// Lets an opening wait for room, or refuses it if it would wait for too long.
+    /// Queues an opening until a target has capacity, or refuses it if it would wait too long.
     pub(super) fn queue_opening(
         &mut self,
         context: &Context<'_>,
@@ -83,32 +85,32 @@
         place: &QueuePlace<'_>,
     ) -> Decision {
         let (now, flow) = (context.now, packet.head.client_flow());
-        let (first_at, queued_at) = self.note_queued(packet.head, now);
+        let (first_at, queued_at) = self.record_queued(packet.head, now);
         let service = place.service;
         let class = QueueClass { service, urgent: place.route.is_urgent() };
         let waiting = self.late_binding.waiting(class);
-        let ahead = if place.turn == Turn::First { 0 } else { waiting };
-        let service_ms = self.typical_service_ms(context, service);
-        let budget = Budget::new(place.route, first_at, service_ms);
-        let budget_end = budget.end(waiting == 0, now);
-        let budget_ms = budget_end.saturating_sub(now);
+        let ahead = if place.queue_end == QueueEnd::Front { 0 } else { waiting };
+        let service_ms = self.median_service_ms(context, service);
+        let deadlines = Deadlines::new(place.route, first_at, service_ms);
+        let deadline = deadlines.wait_deadline(waiting == 0, now);
+        let budget_ms = deadline.saturating_sub(now);
         let expected_wait_ms = self.late_binding.expected_wait(class, ahead, now);
         let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms };
         let rank = match self.late_binding.note_arrival(class, now) {
-            // Nobody has to be refused for others to be in time.
+            // No refusals are needed for the others to be in time.
             Trend::Draining => CallerRank::SERVED_FIRST,
             Trend::Growing => self.late_binding.rank(*flow.client.ip(), context.unix_ms, now),
         };
-        let may_wait = match place.turn {
-            Turn::First => budget_ms > 0,
-            Turn::Last => may_wait(expected_wait_ms, ahead, budget_ms, rank),
+        let may_wait = match place.queue_end {
+            QueueEnd::Front => budget_ms > 0,
+            QueueEnd::Back => may_wait(expected_wait_ms, ahead, budget_ms, rank),
         };
-        // In a crowd most are refused: only what waits is copied.
+        // Most openings are refused in an overload, so the packet is copied only if it may wait.
         let opening = || {
             let (head, bytes) = (*packet.head, packet.bytes.to_vec());
-            QueuedOpening { head, bytes, class, queued_at, budget_end }
+            QueuedOpening { head, bytes, class, queued_at, deadline }
         };
-        if !may_wait || !self.late_binding.push(opening(), place.turn, now) {
+        if !may_wait || !self.late_binding.push(opening(), place.queue_end, now) {
             return self.refuse(&flow, ResetReason::Overloaded { inputs });
         }
         let ask = self.agents_to_ask(service, place.targets, now);
@@ -116,14 +118,14 @@
         Decision::Queue { ask, service, demand, inputs }
     }
 
-    /// Notes in a flow's entry that its opening waits. Returns when the flow began and when
-    /// its opening first began to wait.
-    fn note_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
+    /// Records in a flow's entry that its opening is queued. Returns when the flow began and when
+    /// its opening was queued first.
+    fn record_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
         let flow = head.client_flow();
         if self.flows.get_mut(&flow).is_none() {
-            let nowhere = Ipv4Addr::UNSPECIFIED;
-            self.go_to(flow, nowhere, FlowStage::Queued, now);
-            self.note_first_packet(head, now);
+            let no_agent = Ipv4Addr::UNSPECIFIED;
+            self.assign_agent(flow, no_agent, FlowStage::Queued, now);
+            self.record_first_packet(head, now);
         }
         let Some(entry) = self.flows.get_mut(&flow) else { return (now, now) };
         entry.stage = FlowStage::Queued;
@@ -133,18 +135,18 @@
         (entry.first_at, queued_at)
     }
 
-    /// Notes in a new flow's entry when its first packet came, which another balancer may
-    /// have got and sent to a target.
-    pub(super) fn note_first_packet(&mut self, head: &PacketHead, now: Millis) {
+    /// Records in a new flow's entry when its first packet was sent. Another balancer may have
+    /// received that packet and sent it to a target.
+    pub(super) fn record_first_packet(&mut self, head: &PacketHead, now: Millis) {
         let Some(entry) = self.flows.get_mut(&head.client_flow()) else { return };
-        let copies = usize::try_from(head.acknowledgment).unwrap_or(usize::MAX);
-        let age_ms = COPIES_AFTER_MS[copies.min(COPIES_AFTER_MS.len() - 1)];
+        let retransmissions = usize::try_from(head.acknowledgment).unwrap_or(usize::MAX);
+        let age_ms = TRANSMISSIONS_AFTER_MS[retransmissions.min(TRANSMISSIONS_AFTER_MS.len() - 1)];
         entry.first_at = now.saturating_sub(age_ms);
-        entry.may_be_open = copies > 0;
+        entry.may_be_open = retransmissions > 0;
     }
 
-    /// The outcome for an opening that no target takes, or none in time. Its client is told if
-    /// no target can have opened the flow.
+    /// Returns the decision for an opening that no target takes, or none in time. The client gets a
+    /// reset only if no target can have opened the flow.
     pub(super) fn refuse(&mut self, flow: &FlowKey, reason: ResetReason) -> Decision {
         let may_be_open = self.flows.get_mut(flow).is_none_or(|entry| entry.may_be_open);
         self.flows.remove(flow);
@@ -154,8 +156,8 @@
         Decision::Reset { sequence: 0, reason }
     }
 
-    /// Whether a returned opening is another delivery than the latest one to the same agent:
-    /// the message came late or twice, and the agent may still take the latest one.
+    /// Whether a returned opening belongs to an earlier delivery to the same agent than the latest
+    /// one: the message was late or duplicated, and the agent may still take the latest delivery.
     pub(super) fn is_earlier_delivery(
         &mut self,
         flow: &FlowKey,
@@ -166,9 +168,9 @@
         entry.is_some_and(|entry| entry.granted != granted)
     }
 
-    /// The outcome for a returned opening that queues; none if it goes on as openings of
-    /// routes without an objective do.
-    pub(super) fn returned_to_queue(
+    /// Returns the decision for a returned opening that is queued, or `None` if it is handled like
+    /// openings of routes without an objective.
+    pub(super) fn requeue_returned(
         &mut self,
         context: &Context<'_>,
         packet: ClientPacket<'_>,
@@ -190,40 +192,45 @@
             return None;
         }
         let eligible = self.eligible(context, route, service, flow.hash());
-        let Eligible { answering, .. } = eligible.without(self.flows.tried(&flow));
-        if answering.is_empty() {
+        let Eligible { responsive, .. } = eligible.without_tried(self.flows.tried(&flow));
+        if responsive.is_empty() {
             return None;
         }
-        let turn = if was_granted { Turn::First } else { Turn::Last };
-        let place = QueuePlace { route, service, turn, targets: &answering };
+        let queue_end = if was_granted { QueueEnd::Front } else { QueueEnd::Back };
+        let place = QueuePlace { route, service, queue_end, targets: &responsive };
         Some(self.queue_opening(context, packet, &place))
     }
 
-    /// The target that a copy of an opening follows, which was sent there for a grant.
-    pub(super) fn granted_lately(&mut self, flow: &FlowKey, now: Millis) -> Option<Ipv4Addr> {
+    /// Returns the target to which a flow's opening was recently sent with a grant; retransmissions
+    /// go to the same target.
+    pub(super) fn recently_granted_agent(
+        &mut self,
+        flow: &FlowKey,
+        now: Millis,
+    ) -> Option<Ipv4Addr> {
         let entry = self.flows.get_mut(flow)?;
-        let is_recent = now.saturating_sub(entry.tried_at) < GRANT_ANSWER_MS;
+        let is_recent = now.saturating_sub(entry.tried_at) < GRANT_ANSWER_TIMEOUT_MS;
         let awaits_answer = entry.granted && entry.stage == FlowStage::Opening && is_recent;
         awaits_answer.then_some(entry.agent)
     }
 
-    /// Whether a flow's opening waits here.
+    /// Whether a flow's opening is queued here.
     pub(super) fn is_queued(&self, flow: &FlowKey) -> bool {
         self.late_binding.contains(flow)
     }
 
-    /// Forgets an opening that waits, as its flow was opened elsewhere or given up.
-    pub(super) fn leave_queue(&mut self, flow: &FlowKey, now: Millis) {
+    /// Removes a flow's opening from the queue, because the flow was opened elsewhere or abandoned.
+    pub(super) fn remove_from_queue(&mut self, flow: &FlowKey, now: Millis) {
         self.late_binding.give_up(flow, now);
     }
 
-    /// How many openings wait here.
+    /// Number of openings queued here.
     pub fn queue_length(&self) -> usize {
         self.late_binding.len()
     }
 
-    /// The agents to be asked for room: those of the cheapest targets, and far ones only after
-    /// all others.
+    /// Selects the agents to ask for capacity: those of the cheapest targets, and far ones only
+    /// after all others.
     pub(super) fn agents_to_ask(
         &mut self,
         service: ServiceId,
@@ -232,19 +239,21 @@
     ) -> Vec<Ipv4Addr> {
         let costs = TargetCosts::new(targets, &self.statuses, now);
         let cost = |target: &Candidate| (target.distance == Distance::Far, costs.cost(target));
-        self.late_binding.choose_asked(service, targets, cost, now)
+        self.late_binding.select_agents_to_ask(service, targets, cost, now)
     }
 
-    /// The time of one request at the middle one of the service's targets.
-    fn typical_service_ms(&mut self, context: &Context<'_>, service: ServiceId) -> Millis {
+    /// Returns the median of the service times reported for a service's targets.
+    fn median_service_ms(&mut self, context: &Context<'_>, service: ServiceId) -> Millis {
         let statuses = &self.statuses;
         self.late_binding.service_ms(service, context.now, || {
             let candidates = context.view.candidates(service).iter();
-            let told =
+            let reported =
                 candidates.filter_map(|target| statuses.target_load(target.agent).service_ms);
-            let mut told: Vec<u32> = told.collect();
-            told.sort_unstable();
-            told.get(told.len() / 2).map_or(DEFAULT_SERVICE_MS, |middle| Millis::from(*middle))
+            let mut reported: Vec<u32> = reported.collect();
+            reported.sort_unstable();
+            reported
+                .get(reported.len() / 2)
+                .map_or(DEFAULT_SERVICE_MS, |median| Millis::from(*median))
         })
     }
 }
--- a/crates/steering/src/balancer/search.rs
+++ b/crates/steering/src/balancer/search.rs
@@ -1,78 +1,81 @@
-//! The search for the target that holds a flow which this balancer does not know.
+//! Searches for the target that holds a flow unknown to this balancer.
 
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
 
 use super::decision::{Decision, DropReason, ResetReason};
-use super::search_order::SearchPlace;
-use super::{Balancer, ClientPacket, Context, service_of};
+use super::search_order::SearchTarget;
+use super::{Balancer, ClientPacket, Context, service_of_agent};
 use crate::flow_table::{FlowEntry, FlowStage};
 use crate::packet::{FlowKey, PacketHead};
 
-/// A search that got no answer from a target for this long tries the next one.
-const SEARCH_STEP_MS: Millis = 120;
-/// Most agents that a searching packet visits in turn before it comes back. Nearly all
-/// flows are held near the front of their order, within the first row.
-const ASKED_IN_TURN: usize = 8;
-/// How many times more rows each wave of a search has than the one before: the time of
-/// a search grows with the logarithm of the number of targets.
-const ROWS_GROWTH: usize = 4;
-/// Most rows of one wave, which bounds the packets sent at once. All of 680 targets are
-/// asked in four waves.
-const MOST_ROWS: usize = 64;
-/// Rows in which the agents of rows that did not come back are asked again. All of them
-/// alone, the packets of one flow filled a link of 10 Mbit/s for 12 ms at 41 targets, and
-/// thousands of flows are lost at once. Up to so many agents are asked alone right away.
-const ROWS_AFTER_SILENCE: usize = 4;
-/// A flow is given up this long after the last target sent its packet back, so that a
-/// target that was not known by then is asked too: a change that one balancer knows
-/// reaches the others in a few milliseconds. The client waits meanwhile, and after a
-/// total loss every flow meets this wait.
+/// After this long without an answer, a search continues with the next targets.
+const SEARCH_STEP_TIMEOUT_MS: Millis = 120;
+/// Maximum number of agents that a search packet visits in turn before it is returned. Nearly all
+/// flows are held near the front of their rendezvous order, within the first path.
+const MAX_PATH_LENGTH: usize = 8;
+/// Factor by which the number of paths grows with each wave of a search, so that the duration of a
+/// search grows with the logarithm of the number of targets.
+const PATH_GROWTH_FACTOR: usize = 4;
+/// Maximum number of paths in one wave, which bounds the packets sent at once. Four waves reach all
+/// of 680 targets.
+const MAX_PATHS: usize = 64;
+/// Number of paths over which the agents of unanswered paths are spread when they are asked again.
+/// If each were asked separately, the packets of one flow would fill a link of 10 Mbit/s for 12 ms
+/// with 41 targets, and thousands of flows may be lost at once. Up to this many agents are asked
+/// separately right away.
+const RETRY_PATHS: usize = 4;
+/// How long after the last target returned its packet a flow is given up, so that a target unknown
+/// until then is asked too: a change known to one balancer reaches the others within a few
+/// milliseconds. The client waits meanwhile, and after a total loss of state every flow incurs this
+/// wait.
 const GIVE_UP_AFTER_MS: Millis = 25;
-/// How long after the store's word became fresh an agent has had the time to say
-/// what stands beside it.
-const CLAIMS_KNOWN_MS: Millis = 250;
+/// Time after the store's data became fresh within which every agent has reported its co-located
+/// target.
+const CLAIMS_COMPLETE_AFTER_MS: Millis = 250;
+
 impl Balancer {
     /// Sends a packet of an unknown flow to the next targets that may hold it.
     pub(super) fn search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
         let flow = head.client_flow();
         let Some(route) = context.view.route(head.destination) else {
-            return Self::without_route(context.view, head);
+            return Self::decide_without_route(context.view, head);
         };
-        let is_under_way = self.flows.get_mut(&flow).is_some_and(|entry| !entry.asked.is_empty());
-        if is_under_way {
+        let is_in_progress = self.flows.get_mut(&flow).is_some_and(|entry| !entry.asked.is_empty());
+        if is_in_progress {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
         self.route_history.note(context.view);
-        let untried = self.untried_places(context, route, &flow);
+        let untried = self.untried_search_targets(context, route, &flow);
         let Some(first) = untried.first() else {
-            return self.search_failed(context, &flow, head);
+            return self.end_failed_search(context, &flow, head);
         };
         let at_once = self.search_outcomes.are_mostly_in_vain(context.now);
-        let rows = match self.flows.get_mut(&flow) {
-            Some(entry) => next_rows(&untried, entry, at_once),
-            None => next_rows(
+        let paths = match self.flows.get_mut(&flow) {
+            Some(entry) => next_paths(&untried, entry, at_once),
+            None => next_paths(
                 &untried,
                 &FlowEntry::new(first.agent, FlowStage::Unheld, context.now),
                 at_once,
             ),
         };
-        if let Err(wait_ms) = self.search_budget.take(rows.len(), head.length, context.now) {
-            self.go_to(flow, first.agent, FlowStage::Unheld, context.now);
+        if let Err(wait_ms) = self.search_budget.take(paths.len(), head.length, context.now) {
+            self.assign_agent(flow, first.agent, FlowStage::Unheld, context.now);
             return Decision::Drop(DropReason::SearchWaits { wait_ms });
         }
-        self.go_to(flow, first.agent, FlowStage::Searching, context.now);
-        let decision = Decision::search(&rows, first.service);
+        self.assign_agent(flow, first.agent, FlowStage::Searching, context.now);
+        let decision = Decision::search(&paths, first.service);
         if let Some(entry) = self.flows.get_mut(&flow) {
-            entry.asked = rows;
+            entry.asked = paths;
             entry.waves += 1;
         }
         decision
     }
 
-    /// Sends a further packet of a flow the way of the search under way, while that is
-    /// one row. With more rows its client sends it again when the target is found.
+    /// Sends a further packet of a flow along the path of the search in progress, if there is only
+    /// one path. With more paths the packet is dropped, and the client retransmits it after the
+    /// target is found.
     pub(super) fn join_search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
         let flow = &head.client_flow();
         let Some(entry) = self.flows.get_mut(flow).filter(|entry| entry.asked.len() == 1) else {
@@ -81,40 +84,40 @@
         if self.search_budget.take(entry.asked.len(), head.length, context.now).is_err() {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
-        let service = service_of(context.view, flow, entry.agent);
+        let service = service_of_agent(context.view, flow, entry.agent);
         Decision::search(&entry.asked, service)
     }
 
-    /// Goes past targets that did not answer. Any of a row may be the one that does not:
-    /// all of the row are asked again, in shorter rows.
-    pub(super) fn search_past_silence(
+    /// Continues a search past targets that did not answer. Any agent of an unanswered path may be
+    /// the unresponsive one, so all of them are asked again, on shorter paths.
+    pub(super) fn search_past_unanswered(
         &mut self,
         context: &Context<'_>,
         head: &PacketHead,
     ) -> Decision {
         let flow = head.client_flow();
         let asked = self.flows.get_mut(&flow).map(|entry| std::mem::take(&mut entry.asked));
-        let (rows, alone): (Vec<_>, Vec<_>) =
-            asked.unwrap_or_default().into_iter().partition(|row| row.len() > 1);
-        let silent: Vec<Ipv4Addr> = alone.into_iter().flatten().collect();
-        for agent in &silent {
+        let (paths, single): (Vec<_>, Vec<_>) =
+            asked.unwrap_or_default().into_iter().partition(|path| path.len() > 1);
+        let unresponsive: Vec<Ipv4Addr> = single.into_iter().flatten().collect();
+        for agent in &unresponsive {
             self.statuses.ignored_search(*agent, context.now);
         }
         let route = context.view.route(flow.service);
         let may_hold = |agent: &&Ipv4Addr| {
-            route.is_some_and(|route| !self.may_be_gone(context, route, **agent))
+            route.is_some_and(|route| !self.has_probably_ended(context, route, **agent))
         };
-        let unanswered: Vec<Ipv4Addr> = silent.iter().filter(may_hold).copied().collect();
+        let unanswered: Vec<Ipv4Addr> = unresponsive.iter().filter(may_hold).copied().collect();
         if let Some(entry) = self.flows.get_mut(&flow) {
-            entry.tried.extend(silent);
+            entry.tried.extend(unresponsive);
             entry.unanswered.extend(unanswered);
-            entry.doubtful = rows.into_iter().flatten().collect();
+            entry.doubtful = paths.into_iter().flatten().collect();
         }
         self.search(context, head)
     }
 
-    /// Keeps a copy of a packet that looks for its target, or drops the copy when
-    /// the search has ended.
+    /// Keeps a copy of a packet that searches for its target, or drops the copy if the search has
+    /// ended.
     pub(super) fn keep_for_search(
         &mut self,
         decision: &Decision,
@@ -123,19 +126,19 @@
     ) {
         let flow = packet.head.client_flow();
         if *decision == Decision::Drop(DropReason::SearchGoesOn) {
-            // Those asked still have the rest of their time to answer.
+            // The agents asked last still have time to answer.
             return;
         }
-        let goes_on = match decision {
+        let is_searching = match decision {
             Decision::Forward(forward) => forward.is_search(),
             Decision::Drop(DropReason::NobodyHoldsYet | DropReason::SearchWaits { .. }) => true,
             Decision::Drop(_) => false,
             Decision::Reset { .. } | Decision::HandOff { .. } | Decision::Queue { .. } => false,
         };
-        if goes_on {
+        if is_searching {
             let wait_ms = match decision {
                 Decision::Drop(DropReason::SearchWaits { wait_ms }) => *wait_ms,
-                _ => self.wait_of_search(context, &flow),
+                _ => self.search_pause_ms(context, &flow),
             };
             self.searches.keep(flow, packet.head, packet.bytes, wait_ms, context.now);
         } else {
@@ -143,27 +146,27 @@
         }
     }
 
-    /// How long a search rests before it goes on: for an answer of the agent asked,
-    /// or, when all targets sent the packet back, until they are asked once more.
-    fn wait_of_search(&mut self, context: &Context<'_>, flow: &FlowKey) -> Millis {
-        let certain = self.knows_all_targets(context);
-        let entry = self.flows.get_mut(flow).filter(|_| certain);
+    /// Returns how long a search pauses before it continues: until the agents asked should have
+    /// answered or, if all targets returned the packet, until they are asked once more.
+    fn search_pause_ms(&mut self, context: &Context<'_>, flow: &FlowKey) -> Millis {
+        let knows_all = self.knows_all_targets(context);
+        let entry = self.flows.get_mut(flow).filter(|_| knows_all);
         let is_unheld = entry
             .is_some_and(|entry| entry.stage == FlowStage::Unheld && entry.unheld_since.is_some());
-        if is_unheld { GIVE_UP_AFTER_MS } else { SEARCH_STEP_MS }
+        if is_unheld { GIVE_UP_AFTER_MS } else { SEARCH_STEP_TIMEOUT_MS }
     }
 
-    /// Whether no target can hold a flow that this balancer does not know of.
+    /// Whether this balancer knows of every target that may hold a flow.
     pub(super) fn knows_all_targets(&self, context: &Context<'_>) -> bool {
-        context.fresh && context.now >= self.regained_at + CLAIMS_KNOWN_MS
+        context.fresh && context.now >= self.store_fresh_at + CLAIMS_COMPLETE_AFTER_MS
     }
 
-    /// The packets whose search got no answer in time, for [`Self::search_again`].
+    /// Returns the packets whose search got no answer in time, for [`Self::search_again`].
     pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
-        self.searches.take_due(now, SEARCH_STEP_MS)
+        self.searches.take_due(now, SEARCH_STEP_TIMEOUT_MS)
     }
 
-    /// Goes on with the search of a packet from [`Self::due_searches`].
+    /// Continues the search of a packet from [`Self::due_searches`].
     pub fn search_again(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
         let flow = packet.head.client_flow();
         let stage = self.flows.get_mut(&flow).map(|entry| entry.stage);
@@ -171,27 +174,27 @@
             self.searches.remove(&flow);
             return Decision::Drop(DropReason::SearchEnded);
         }
-        let decision = self.later_packet(context, packet.head);
+        let decision = self.decide_later_packet(context, packet.head);
         self.keep_for_search(&decision, packet, context);
         decision
     }
 
-    /// No target that is known holds the flow.
-    fn search_failed(
+    /// Ends a search in which no known target turned out to hold the flow.
+    fn end_failed_search(
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
         head: &PacketHead,
     ) -> Decision {
         let now = context.now;
-        let certain = self.knows_all_targets(context);
+        let knows_all = self.knows_all_targets(context);
         let Some(entry) = self.flows.get_mut(flow) else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
         entry.end_round();
         entry.stage = FlowStage::Unheld;
-        // A target that did not answer may hold the flow, and is asked again. One that
-        // sent its packet back does not, and never will.
+        // A target that did not answer may hold the flow and is asked again. One that returned its
+        // packet does not hold the flow and never will.
         if !entry.unanswered.is_empty() {
             for agent in std::mem::take(&mut entry.unanswered) {
                 entry.tried.remove(&agent);
@@ -203,7 +206,7 @@
             self.search_outcomes.note(true, now);
         }
         let first = *entry.unheld_since.get_or_insert(now);
-        if certain && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !head.flags.rst {
+        if knows_all && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !head.flags.rst {
             self.flows.remove(flow);
             let sequence = head.acknowledgment;
             return Decision::Reset { sequence, reason: ResetReason::NobodyHolds };
@@ -212,24 +215,26 @@
     }
 }
 
-/// The rows of agents to ask next: those of rows that did not come back in shorter ones,
-/// then in each wave more of those not asked yet, or as many as possible `at_once`; after
-/// them the silent ones, each alone.
-fn next_rows(untried: &[SearchPlace], entry: &FlowEntry, at_once: bool) -> Vec<Vec<Ipv4Addr>> {
-    let answering = untried.iter().take_while(|place| !place.is_silent);
-    let (doubtful, fresh): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) =
-        answering.map(|place| place.agent).partition(|agent| entry.doubtful.contains(agent));
-    if doubtful.is_empty() && fresh.is_empty() {
-        return untried.iter().take(MOST_ROWS).map(|place| vec![place.agent]).collect();
+/// Returns the paths to search next: first the agents of unanswered paths, on shorter paths; then
+/// agents not asked yet, on more paths with each wave, or on as many as possible if `at_once`. Once
+/// all of these are used up, the unresponsive ones follow, each on a path of its own.
+fn next_paths(untried: &[SearchTarget], entry: &FlowEntry, at_once: bool) -> Vec<Vec<Ipv4Addr>> {
+    let answering = untried.iter().take_while(|target| !target.is_unresponsive);
+    let (doubtful, not_asked): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) =
+        answering.map(|target| target.agent).partition(|agent| entry.doubtful.contains(agent));
+    if doubtful.is_empty() && not_asked.is_empty() {
+        return untried.iter().take(MAX_PATHS).map(|target| vec![target.agent]).collect();
     }
-    let shorter = doubtful.len().div_ceil(ROWS_AFTER_SILENCE).clamp(1, ASKED_IN_TURN);
-    let growing = ROWS_GROWTH.saturating_pow(entry.waves).min(MOST_ROWS);
-    let most_fresh = if at_once { MOST_ROWS } else { growing };
-    let rows = doubtful.chunks(shorter).chain(fresh.chunks(ASKED_IN_TURN).take(most_fresh));
-    rows.take(MOST_ROWS).map(<[Ipv4Addr]>::to_vec).collect()
+    let retry_path_length = doubtful.len().div_ceil(RETRY_PATHS).clamp(1, MAX_PATH_LENGTH);
+    let path_limit = PATH_GROWTH_FACTOR.saturating_pow(entry.waves).min(MAX_PATHS);
+    let max_not_asked = if at_once { MAX_PATHS } else { path_limit };
+    let paths = doubtful
+        .chunks(retry_path_length)
+        .chain(not_asked.chunks(MAX_PATH_LENGTH).take(max_not_asked));
+    paths.take(MAX_PATHS).map(<[Ipv4Addr]>::to_vec).collect()
 }
 
-/// Whether the target asked last has had its time to answer.
+/// Whether the agents asked last have had enough time to answer.
 pub(super) fn is_stalled(entry: &FlowEntry, now: Millis) -> bool {
-    now.saturating_sub(entry.tried_at) >= SEARCH_STEP_MS
+    now.saturating_sub(entry.tried_at) >= SEARCH_STEP_TIMEOUT_MS
 }
--- a/crates/steering/src/balancer/search_order.rs
+++ b/crates/steering/src/balancer/search_order.rs
@@ -1,8 +1,8 @@
-//! Which targets a search asks, and in which order.
+//! Selects the targets that a search asks, and their order.
 //!
-//! The targets of the services that the flow's route names come first. A flow stays where it
-//! was opened when its service leaves the route, so those of all other services come next,
-//! unless their agents say that they hold no such flow.
+//! Targets of the services named by the flow's route come first. A flow stays at its target when
+//! the target's service is removed from the route, so targets of all other services follow, unless
+//! their agents report that they hold no such flow.
 
 use std::cmp::Reverse;
 use std::collections::HashSet;
@@ -15,80 +15,81 @@
 use crate::selection::{rank, rendezvous_order};
 use crate::view::{Candidate, Distance, RouteChoice, Standing};
 
-/// A target that left the store and whose agent was silent for this long does not
-/// hold up the giving up of a flow.
-const SILENT_LEAVER_MS: Millis = 2_500;
+/// A target that left the store and whose agent has been silent for this long no longer prevents a
+/// flow from being given up.
+const DEPARTED_SILENCE_MS: Millis = 2_500;
 
-/// One target that may hold a flow.
-pub(super) struct SearchPlace {
+/// A target that may hold a flow.
+pub(super) struct SearchTarget {
     pub(super) service: ServiceId,
     pub(super) agent: Ipv4Addr,
-    /// Its agent does not answer; it is asked last.
-    pub(super) is_silent: bool,
-    /// It is in another region; it is asked after those in this one.
+    /// Whether the target does not answer; such targets are asked last.
+    pub(super) is_unresponsive: bool,
+    /// Whether the target is in another region; such targets are asked after those in this region.
     is_far: bool,
 }
 
 impl Balancer {
-    /// The targets that may hold a flow and were not tried yet, in the flow's order, those
-    /// that do not answer last. Those of services that the route does not name are among
-    /// them once no answering target of the others is left.
-    pub(super) fn untried_places(
+    /// Returns the untried targets that may hold a flow, in the flow's rendezvous order with
+    /// unresponsive ones last. Targets of services that the route does not name are included once
+    /// no responsive target of the route's services is left.
+    pub(super) fn untried_search_targets(
         &self,
         context: &Context<'_>,
         route: &RouteChoice,
         flow: &FlowKey,
-    ) -> Vec<SearchPlace> {
+    ) -> Vec<SearchTarget> {
         let tried = self.flows.tried(flow);
-        let mut places = self.named_places(context, route, flow.hash());
-        places.retain(|place| !tried.contains(&place.agent));
-        if places.iter().all(|place| place.is_silent) {
-            let listed: HashSet<Ipv4Addr> = places.iter().map(|place| place.agent).collect();
-            let mut further = self.further_places(context, route, flow.hash());
-            further.retain(|place| !tried.contains(&place.agent) && !listed.contains(&place.agent));
-            places.extend(further);
+        let mut targets = self.route_search_targets(context, route, flow.hash());
+        targets.retain(|target| !tried.contains(&target.agent));
+        if targets.iter().all(|target| target.is_unresponsive) {
+            let listed: HashSet<Ipv4Addr> = targets.iter().map(|target| target.agent).collect();
+            let mut further = self.other_search_targets(context, route, flow.hash());
+            further
+                .retain(|target| !tried.contains(&target.agent) && !listed.contains(&target.agent));
+            targets.extend(further);
         }
-        // A stable sort: the flow's order stays within each part.
-        places.sort_by_key(|place| (place.is_silent, place.is_far));
-        places
+        // The sort is stable, so the rendezvous order is kept within each group.
+        targets.sort_by_key(|target| (target.is_unresponsive, target.is_far));
+        targets
     }
 
-    /// The targets of the services that the route names.
-    fn named_places(
+    /// Returns the targets of the services that the route names.
+    fn route_search_targets(
         &self,
         context: &Context<'_>,
         route: &RouteChoice,
         flow_hash: u64,
-    ) -> Vec<SearchPlace> {
-        let mut places: Vec<SearchPlace> = Vec::new();
+    ) -> Vec<SearchTarget> {
+        let mut targets: Vec<SearchTarget> = Vec::new();
         let mut listed: HashSet<Ipv4Addr> = HashSet::new();
         for service in route.services() {
             let candidates = context.view.candidates(service).iter();
             let candidates = candidates.filter(|candidate| route.allows(candidate.region));
             for candidate in rendezvous_order(flow_hash, candidates) {
                 listed.insert(candidate.agent);
-                if self.is_gone_for_good(context, &candidate) {
+                if self.target_has_ended(context, &candidate) {
                     continue;
                 }
-                places.push(self.search_place(service, &candidate, context.now));
+                targets.push(self.search_target(service, &candidate, context.now));
             }
             for agent in self.statuses.claimants(service, context.now) {
-                if self.may_be_asked_unrecorded(context, route, agent) && listed.insert(agent) {
-                    places.push(claimed_place(service, agent));
+                if self.should_ask_unrecorded(context, route, agent) && listed.insert(agent) {
+                    targets.push(claimed_search_target(service, agent));
                 }
             }
         }
-        places
+        targets
     }
 
-    /// The targets of all other services that may hold a flow of the route from a time when
-    /// it named their service.
-    fn further_places(
+    /// Returns the targets of all other services that may hold a flow of the route from a time when
+    /// the route named their service.
+    fn other_search_targets(
         &self,
         context: &Context<'_>,
         route: &RouteChoice,
         flow_hash: u64,
-    ) -> Vec<SearchPlace> {
+    ) -> Vec<SearchTarget> {
         let named: HashSet<ServiceId> = route.services().collect();
         let may_hold = |service: ServiceId, agent: Ipv4Addr| {
             let since = self.route_history.unchanged_since(service);
@@ -97,71 +98,81 @@
         let recorded = context.view.targets_outside(&named).filter(|(service, candidate)| {
             route.allows(candidate.region)
                 && may_hold(*service, candidate.agent)
-                && !self.is_gone_for_good(context, candidate)
-                && !self.is_stray(candidate.agent, context.now)
+                && !self.target_has_ended(context, candidate)
+                && !self.is_foreign_address(candidate.agent, context.now)
         });
-        let mut places: Vec<SearchPlace> = recorded
-            .map(|(service, candidate)| self.search_place(service, candidate, context.now))
+        let mut targets: Vec<SearchTarget> = recorded
+            .map(|(service, candidate)| self.search_target(service, candidate, context.now))
             .collect();
         let claimants = self.statuses.claimants_outside(&named, context.now);
         let unrecorded = claimants.into_iter().filter(|(service, agent)| {
             may_hold(*service, *agent)
                 && context.view.target_beside(*agent).is_none()
-                && self.may_be_asked_unrecorded(context, route, *agent)
+                && self.should_ask_unrecorded(context, route, *agent)
         });
-        places.extend(unrecorded.map(|(service, agent)| claimed_place(service, agent)));
-        places.sort_by_key(|place| Reverse(rank(flow_hash, place.agent)));
-        places
+        targets.extend(unrecorded.map(|(service, agent)| claimed_search_target(service, agent)));
+        targets.sort_by_key(|target| Reverse(rank(flow_hash, target.agent)));
+        targets
     }
 
-    /// Whether a target that only its agent speaks of is asked.
-    fn may_be_asked_unrecorded(
+    /// Whether to ask a target that is known only from its agent's reports.
+    fn should_ask_unrecorded(
         &self,
         context: &Context<'_>,
         route: &RouteChoice,
         agent: Ipv4Addr,
     ) -> bool {
-        let certain = self.knows_all_targets(context);
-        let is_mute = certain && self.statuses.is_mute(agent, context.now);
+        let knows_all = self.knows_all_targets(context);
+        let is_mute = knows_all && self.statuses.is_mute(agent, context.now);
         let zone = self.statuses.claimed_zone(agent);
         let region = zone.and_then(|zone| context.view.region_of(zone));
         !is_mute && route.allows(region)
     }
 
-    fn search_place(&self, service: ServiceId, candidate: &Candidate, now: Millis) -> SearchPlace {
+    fn search_target(
+        &self,
+        service: ServiceId,
+        candidate: &Candidate,
+        now: Millis,
+    ) -> SearchTarget {
         let agent = candidate.agent;
-        let is_silent = self.has_left(candidate, now)
+        let is_unresponsive = self.has_left(candidate, now)
             || self.statuses.is_suspect(candidate, now)
             || self.statuses.is_mute(agent, now);
-        SearchPlace { service, agent, is_silent, is_far: candidate.distance == Distance::Far }
+        SearchTarget {
+            service,
+            agent,
+            is_unresponsive,
+            is_far: candidate.distance == Distance::Far,
+        }
     }
 
-    /// Whether a target left the store and its agent is silent too.
+    /// Whether a target left the store and its agent has been silent as well.
     fn has_left(&self, candidate: &Candidate, now: Millis) -> bool {
         let age = self.statuses.age(candidate.agent, now);
-        let is_silent = age.is_none_or(|age| age >= SILENT_LEAVER_MS);
+        let is_silent = age.is_none_or(|age| age >= DEPARTED_SILENCE_MS);
         candidate.standing != Standing::Ready && is_silent
     }
 
-    /// Whether a target has ended: its agent said so, or it left the store and answered
-    /// none of several searching packets either, though its agent may live. A living one
-    /// has renewed its record by then.
-    fn is_gone_for_good(&self, context: &Context<'_>, candidate: &Candidate) -> bool {
-        let is_settled = context.fresh && !self.is_unsettled(context.now);
+    /// Whether a target has ended: its agent reported it, or the target left the store and did not
+    /// answer several search packets either, although its agent may be alive. A live target would
+    /// have renewed its record by then.
+    fn target_has_ended(&self, context: &Context<'_>, candidate: &Candidate) -> bool {
+        let is_settled = context.fresh && !self.is_settling(context.now);
         let agent = candidate.agent;
         let is_mute = self.statuses.is_persistently_mute(agent, context.now);
         self.statuses.has_ended(candidate) || (!candidate.recorded && is_settled && is_mute)
     }
 
-    /// Whether nobody was ever heard at an agent's address, which left a search unanswered
-    /// as well: an entry of another writer may name a machine that never was one of ours.
-    fn is_stray(&self, agent: Ipv4Addr, now: Millis) -> bool {
-        let had_time = now >= self.regained_at + SILENT_LEAVER_MS;
+    /// Whether no agent has ever been heard from at an address that also left a search unanswered.
+    /// A store entry of another writer may name a machine that never belonged to the fleet.
+    fn is_foreign_address(&self, agent: Ipv4Addr, now: Millis) -> bool {
+        let had_time = now >= self.store_fresh_at + DEPARTED_SILENCE_MS;
         had_time && self.statuses.age(agent, now).is_none() && self.statuses.is_mute(agent, now)
     }
 
-    /// Whether a target that does not answer is most likely gone.
-    pub(super) fn may_be_gone(
+    /// Whether an unresponsive target has most likely ended.
+    pub(super) fn has_probably_ended(
         &self,
         context: &Context<'_>,
         route: &RouteChoice,
@@ -171,11 +182,11 @@
         let Some((service, candidate)) = context.view.target_beside(agent) else { return true };
         let is_named = route.services().any(|named| named == service);
         self.has_left(candidate, now)
-            || self.is_gone_for_good(context, candidate)
-            || (!is_named && self.is_stray(agent, now))
+            || self.target_has_ended(context, candidate)
+            || (!is_named && self.is_foreign_address(agent, now))
     }
 }
 
-fn claimed_place(service: ServiceId, agent: Ipv4Addr) -> SearchPlace {
-    SearchPlace { service, agent, is_silent: false, is_far: false }
+fn claimed_search_target(service: ServiceId, agent: Ipv4Addr) -> SearchTarget {
+    SearchTarget { service, agent, is_unresponsive: false, is_far: false }
 }
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -1,8 +1,8 @@
-//! Packets that came before it was known where they could go.
+//! Keeps packets that arrived before it was known where to send them.
 //!
-//! A client sends a packet again after 200 ms at the earliest, and every further copy
-//! comes twice as late. A balancer that starts knows a configuration some 30 ms later,
-//! so its first packets are decided about then instead of being lost.
+//! A client retransmits a packet after 200 ms at the earliest and doubles the interval each time. A
+//! balancer that starts receives its configuration about 30 ms later, so it keeps its first packets
+//! and decides about them then instead of losing them.
 
 use weirhinge_fleet::Millis;
 
@@ -12,10 +12,10 @@
 use crate::pending_packets::PendingPackets;
 use crate::view::VersionLabel;
 
-/// How often it is looked whether there is news for such packets.
-const LOOK_EVERY_MS: Millis = 8;
+/// Interval at which to check whether these packets can be decided about.
+const CHECK_INTERVAL_MS: Millis = 8;
 
-/// What a further decision could come out differently by.
+/// The knowledge on which the outcome of another decision depends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Knowledge {
     label: Option<VersionLabel>,
@@ -25,31 +25,32 @@
     evacuated: usize,
 }
 
-/// The packets, decided about again once there is news.
+/// Undecided packets, which are decided about again when the balancer's knowledge changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UndecidedPackets {
     packets: PendingPackets,
-    looked_at: Millis,
+    checked_at: Millis,
     known: Knowledge,
 }
 
 impl UndecidedPackets {
-    /// Keeps as many packets as a balancer decides about in a few tens of
-    /// milliseconds: more would only make it late for those that come then.
+    /// Keeps as many packets as a balancer with this processor share, in thousandths of a
+    /// processor, decides about in a few tens of milliseconds. More would only delay the packets
+    /// that arrive at that time.
     pub(super) fn with_processor_share(permille: u32) -> Self {
         let capacity = usize::try_from(permille).unwrap_or(usize::MAX);
         let packets = PendingPackets::with_capacity(capacity);
         Self { packets, ..Self::default() }
     }
 
-    /// When to look for news next; none while no packet waits.
-    fn next_look(&self) -> Option<Millis> {
-        (!self.packets.is_empty()).then_some(self.looked_at + LOOK_EVERY_MS)
+    /// When to check next, or `None` if there are no packets.
+    fn next_check(&self) -> Option<Millis> {
+        (!self.packets.is_empty()).then_some(self.checked_at + CHECK_INTERVAL_MS)
     }
 
-    /// All packets if there is news.
-    fn look(&mut self, known: Knowledge, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
-        self.looked_at = now;
+    /// Returns all packets if the knowledge has changed.
+    fn take_if_changed(&mut self, known: Knowledge, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+        self.checked_at = now;
         if known == self.known {
             self.packets.expire(now);
             return Vec::new();
@@ -60,8 +61,8 @@
 }
 
 impl Balancer {
-    /// Keeps a copy of a packet that could not go anywhere yet, or drops the copy when
-    /// the packet got its outcome.
+    /// Keeps a copy of a packet that cannot be sent anywhere yet, or drops the copy once the packet
+    /// is decided about.
     pub(super) fn keep_undecided(
         &mut self,
         decision: &Decision,
@@ -76,8 +77,8 @@
         }
     }
 
-    /// The packets to be decided about once more by [`Self::decide_again`], the newest
-    /// first; none while nothing was learned that would change the outcome.
+    /// Returns the packets to decide about again with [`Self::decide_again`], newest first. Returns
+    /// none unless the balancer has learned something that may change the outcome.
     pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHead, Vec<u8>)> {
         let known = Knowledge {
             label: context.view.label(),
@@ -86,11 +87,11 @@
             helpers: context.helpers.len(),
             evacuated: context.view.evacuated_count(),
         };
-        self.undecided.look(known, context.now)
+        self.undecided.take_if_changed(known, context.now)
     }
 
-    /// Decides about a packet from [`Self::due_undecided`]. None if it still has
-    /// nowhere to go.
+    /// Decides about a packet from [`Self::due_undecided`]. Returns `None` if the packet still
+    /// cannot be sent anywhere.
     pub fn decide_again(
         &mut self,
         context: &Context<'_>,
@@ -100,17 +101,17 @@
         (!is_undecided(&decision)).then_some(decision)
     }
 
-    /// When the first packet that rests here is looked at again: one whose way is not
-    /// known, whose search goes on, or that waits for room.
+    /// When the next packet kept here is due: one that is undecided, whose search is in progress,
+    /// or that waits for capacity.
     pub fn next_due(&self) -> Option<Millis> {
-        let undecided = self.undecided.next_look();
+        let undecided = self.undecided.next_check();
         let queued = self.late_binding.next_due();
         self.searches.next_due().into_iter().chain(undecided).chain(queued).min()
     }
 }
 
-/// Whether a packet has nowhere to go yet but may have soon.
+/// Whether a packet cannot be sent anywhere yet but may be soon.
 fn is_undecided(decision: &Decision) -> bool {
-    let yet = [DropReason::NoConfiguration, DropReason::NoTargetYet];
-    matches!(decision, Decision::Drop(reason) if yet.contains(reason))
+    let undecided_reasons = [DropReason::NoConfiguration, DropReason::NoTargetYet];
+    matches!(decision, Decision::Drop(reason) if undecided_reasons.contains(reason))
 }
