--- a/crates/steering/tests/balancer.rs
+++ b/crates/steering/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer's decisions about opening packets, routes and regions.
+//! Decisions of the balancer about opening packets, routes and regions.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use weirhinge_steering::{Balancer, Decision, DropReason, ForwardReason, PacketHead, ResetReason};
 
 #[test]
-fn a_flow_stays_at_the_target_that_answered() {
+fn flow_stays_at_the_target_that_answered() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     let held = fixture.open(1, LATER);
     let decision = fixture.client(&data(flow(1)), LATER + 10);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_flow_stays_when_its_target_drains_and_leaves_the_store() {
+fn flow_stays_when_its_target_drains_and_leaves_the_store() {
     let mut store = Store::with_targets(2);
     let mut fixture = Fixture::new(&store);
     let held = fixture.open(1, LATER);
@@ -31,14 +31,14 @@
     store.target(number, SERVICE, None, LATER);
     fixture.view = store.view();
     assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 10)).agent, held);
-    // New flows go elsewhere.
+    // New flows go to other targets.
     for port in 100..150 {
         assert_ne!(forwarded(&fixture.client(&opening(flow(port)), LATER + 20)).agent, held);
     }
 }
 
 #[test]
-fn a_refused_opening_goes_to_every_target_then_is_refused_at_once() {
+fn opening_tries_every_target_before_it_is_refused() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     let (mut visited, end) = fixture.bounce_to_the_end(&opening(flow(1)), LATER);
     visited.sort();
@@ -46,9 +46,9 @@
     assert_eq!(end, Decision::Reset { sequence: 0, reason: ResetReason::Refused });
 }
 
-/// It once passed three busy targets first, which cost messages and gained nothing.
+/// Guards against passing three busy targets before waiting, which costs messages without gain.
 #[test]
-fn an_opening_that_met_a_busy_target_waits_at_the_least_loaded() {
+fn opening_returned_as_busy_waits_at_the_least_loaded_target() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     for number in 1..=7 {
         let waiting = if number == 6 { 8 } else { 9 };
@@ -62,15 +62,15 @@
     let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
     assert!(forwarded(&decision).may_wait());
     assert_eq!(forwarded(&decision).agent, agent(6));
-    // Having waited in vain, it is refused at once.
+    // After an unsuccessful wait it is refused at once.
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::Refused };
     assert_eq!(fixture.returned(&head, agent(6), ReturnReason::Busy, LATER + 1_100), refused);
 }
 
-/// Where there were few targets, all of them busy, an opening was once refused within
-/// milliseconds.
+/// Guards against refusing an opening within milliseconds when all of a small number of targets are
+/// busy.
 #[test]
-fn an_opening_waits_when_the_few_targets_there_are_are_busy() {
+fn opening_waits_when_all_of_few_targets_are_busy() {
     for targets in [1, 2] {
         let mut fixture = Fixture::new(&Store::with_targets(targets));
         let head = opening(flow(1));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_copy_goes_to_another_target_only_while_nobody_answered() {
+fn retransmission_moves_only_while_no_target_answered() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let first = forwarded(&fixture.client(&opening(flow(1)), LATER)).agent;
     let moved = fixture.client(&opening(flow(1)), LATER + 200);
@@ -100,18 +100,18 @@
 }
 
 #[test]
-fn of_two_targets_that_answered_the_one_that_confirms_keeps_the_flow() {
+fn confirming_target_keeps_the_flow_after_two_answers() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let first = fixture.open(1, LATER);
-    let late = if first == agent(1) { agent(2) } else { agent(1) };
-    fixture.balancer.holds(flow(1), late, false, 0, LATER + 5);
+    let second = if first == agent(1) { agent(2) } else { agent(1) };
+    fixture.balancer.holds(flow(1), second, false, 0, LATER + 5);
     assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 6)).agent, first);
-    fixture.balancer.holds(flow(1), late, true, 0, LATER + 7);
-    assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 8)).agent, late);
+    fixture.balancer.holds(flow(1), second, true, 0, LATER + 7);
+    assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 8)).agent, second);
 }
 
 #[test]
-fn an_old_entry_does_not_catch_a_new_flow_on_the_same_port() {
+fn new_flow_on_a_reused_port_ignores_the_old_entry() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     fixture.open(1, LATER);
     let decision = fixture.client(&opening(flow(1)), LATER + 5_000);
@@ -119,20 +119,23 @@
 }
 
 #[test]
-fn silent_and_stopping_targets_are_passed_over() {
+fn unresponsive_and_stopping_targets_are_skipped() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
-    // Target 1 answers nothing; target 2 answers all.
-    let mut to_silent = 0;
+    // Target 1 never answers; target 2 always does.
+    let mut to_unresponsive = 0;
     for port in 0..100 {
         let now = LATER + u64::from(port) * 10;
         let chosen = forwarded(&fixture.client(&opening(flow(port)), now)).agent;
         if chosen == agent(2) {
             fixture.balancer.holds(flow(port), chosen, false, 0, now);
         } else {
-            to_silent += 1;
+            to_unresponsive += 1;
         }
     }
-    assert!(to_silent < 30, "{to_silent} openings to a silent target in a second");
+    assert!(
+        to_unresponsive < 30,
+        "{to_unresponsive} openings went to an unresponsive target in a second"
+    );
     let mut stopping = Fixture::new(&Store::with_targets(2));
     let first = forwarded(&stopping.client(&opening(flow(1)), LATER)).agent;
     stopping.returned(&opening(flow(1)), first, ReturnReason::Leaving, LATER);
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn the_less_loaded_of_two_gets_the_flow() {
+fn less_loaded_of_two_targets_gets_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     fixture.balancer.heard(agent(1), 6, LATER);
     fixture.balancer.heard(agent(2), 0, LATER);
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn flows_spread_evenly_without_reports() {
+fn flows_spread_evenly_without_load_reports() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     let mut counts: HashMap<Ipv4Addr, u32> = HashMap::new();
     for port in 0..7_000 {
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn each_part_of_a_route_gets_its_share_and_copies_stay_with_their_part() {
+fn route_weights_are_respected_and_retransmissions_keep_their_service() {
     let mut store = Store::with_targets(3);
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     store.route(&[(SERVICE, 80), (OTHER, 20)]);
@@ -170,17 +173,20 @@
     let mut to_other = 0;
     for port in 0..5_000 {
         let first = fixture.client(&opening(flow(port)), LATER);
-        let copy = fixture.client(&opening(flow(port)), LATER + 200);
-        if let Decision::Forward(copy) = &copy {
-            assert_eq!(copy.service, forwarded(&first).service);
+        let retransmission = fixture.client(&opening(flow(port)), LATER + 200);
+        if let Decision::Forward(retransmission) = &retransmission {
+            assert_eq!(retransmission.service, forwarded(&first).service);
         }
         to_other += u32::from(forwarded(&first).service == ServiceId::of(OTHER));
     }
-    assert!((950..1_050).contains(&to_other), "{to_other} of 5000 to a part of a fifth");
+    assert!(
+        (950..1_050).contains(&to_other),
+        "{to_other} of 5000 flows went to the service with a fifth of the weight"
+    );
 }
 
 #[test]
-fn an_address_used_again_belongs_to_its_new_service() {
+fn reused_address_belongs_to_its_new_service() {
     let mut store = Store::with_targets(2);
     store.target(2, SERVICE, None, 0);
     store.target(2, OTHER, Some(TargetState::Ready), 0);
@@ -193,7 +199,7 @@
 }
 
 #[test]
-fn missing_routes_are_told_at_once_and_only_with_a_configuration() {
+fn missing_route_resets_only_with_a_configuration() {
     let mut store = Store::with_targets(1);
     store.configure(Vec::new());
     let mut fixture = Fixture::new(&store);
@@ -207,7 +213,7 @@
 }
 
 #[test]
-fn a_service_without_targets_refuses_only_on_settled_knowledge() {
+fn service_without_targets_refuses_only_once_store_data_has_settled() {
     let mut fixture = Fixture::new(&Store::with_targets(0));
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
     let dropped = Decision::Drop(DropReason::NoTargetYet);
@@ -220,7 +226,7 @@
 }
 
 #[test]
-fn after_an_outage_targets_without_a_record_take_flows_for_a_while() {
+fn unrecorded_targets_take_flows_for_a_while_after_an_outage() {
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
@@ -232,7 +238,7 @@
     chosen.sort();
     chosen.dedup();
     assert_eq!(chosen, vec![agent(1), agent(9)]);
-    // A recorded target is preferred, and silence of the store is believed in time.
+    // A recorded target is preferred, and after a while a missing record counts as final.
     store.target(2, SERVICE, Some(TargetState::Ready), LATER + 1_100);
     fixture.view = store.view();
     let preferred = fixture.client(&opening(flow(90)), LATER + 1_200);
@@ -240,7 +246,7 @@
 }
 
 #[test]
-fn a_target_without_a_record_takes_no_flow_past_the_bound() {
+fn target_gets_no_flows_two_seconds_after_losing_its_record() {
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
@@ -250,7 +256,7 @@
 }
 
 #[test]
-fn a_bounced_packet_from_a_client_is_dropped() {
+fn bounced_packet_from_a_client_is_dropped() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
     let mut head = data(flow(1));
     head.flags.bounced = true;
@@ -259,15 +265,15 @@
 }
 
 #[test]
-fn a_balancer_that_no_agent_answers_is_isolated() {
+fn balancer_without_answers_from_agents_is_isolated() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
-    assert!(!fixture.balancer.is_isolated(LATER), "not before it was in touch");
+    assert!(!fixture.balancer.is_isolated(LATER), "not isolated before the first report");
     fixture.claimed(agent(1), LATER);
     assert!(!fixture.balancer.is_isolated(LATER + 600));
     assert!(fixture.balancer.is_isolated(LATER + 700));
     fixture.claimed(agent(2), LATER + 800);
     assert!(!fixture.balancer.is_isolated(LATER + 801));
-    // Heard but not reached: openings stay unanswered.
+    // Agents' reports arrive here, but openings do not reach the agents and stay unanswered.
     for port in 0..10 {
         fixture.client(&opening(flow(port)), LATER + 900);
     }
@@ -278,7 +284,7 @@
 }
 
 #[test]
-fn memory_for_flows_is_bounded() {
+fn flow_table_is_bounded() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     fixture.balancer = Balancer::with_capacity(100);
     for port in 0..5_000 {
@@ -292,10 +298,10 @@
     assert!(fixture.context(0).fresh);
 }
 
-/// A copy used to go to another busy target, and its return refused the flow that
-/// waited.
+/// Guards against a retransmission going to another busy target, whose return then refuses the
+/// waiting flow.
 #[test]
-fn a_copy_of_a_waiting_opening_goes_where_it_waits() {
+fn retransmission_goes_to_the_target_where_the_opening_waits() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
     let head = opening(flow(1));
     let mut decision = fixture.client(&head, LATER);
@@ -304,13 +310,13 @@
         decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
     }
     let waits_at = forwarded(&decision).agent;
-    let copy = fixture.client(&PacketHead { acknowledgment: 1, ..head }, LATER + 200);
-    assert_eq!(forwarded(&copy).agent, waits_at);
-    assert!(forwarded(&copy).may_wait());
+    let retransmission = fixture.client(&PacketHead { acknowledgment: 1, ..head }, LATER + 200);
+    assert_eq!(forwarded(&retransmission).agent, waits_at);
+    assert!(forwarded(&retransmission).may_wait());
 }
 
 #[test]
-fn a_route_is_urgent_beside_a_less_urgent_one_of_its_service_alone() {
+fn route_is_urgent_only_if_its_service_has_a_less_urgent_one() {
     let address = *support::endpoint().ip();
     let route = |port: u16, service: &str, priority: u32| {
         support::route_to(std::net::SocketAddrV4::new(address, port), service, priority)
@@ -320,14 +326,15 @@
     let view = store.view();
     let urgent = |port| {
         let endpoint = std::net::SocketAddrV4::new(*support::endpoint().ip(), port);
-        view.route(endpoint).expect("a route").is_urgent()
+        view.route(endpoint).expect("the route exists").is_urgent()
     };
     assert_eq!([urgent(443), urgent(444), urgent(445)], [true, false, false]);
 }
 
-/// Once three quarters of the packets of a deployment of four zones crossed zones.
+/// Guards against ignoring zones when targets are selected: in a deployment of four zones, three
+/// quarters of the packets would cross zones.
 #[test]
-fn flows_stay_in_their_zone_while_its_targets_are_not_busier_by_a_margin() {
+fn flows_stay_in_their_zone_within_the_load_margin() {
     let store = two_groups();
     let mut fixture = Fixture::new(&store);
     fixture.view = store.view_in_zone("b");
@@ -341,12 +348,12 @@
     let is_own = |agent: Ipv4Addr| agent.octets()[3] > 50;
     assert!((0..100).all(|port| is_own(chosen(&mut fixture, port, 2, 2))));
     assert!((100..200).all(|port| is_own(chosen(&mut fixture, port, 1, 2))));
-    // Half a request a slot: two at these targets of four slots.
+    // The margin is half a request per slot: two requests at these targets with four slots.
     assert!((200..300).all(|port| is_own(chosen(&mut fixture, port, 4, 2))));
-    // Beyond the margin evenness goes first: only flows whose first two targets are both
-    // in this zone, a fifth, stay at busier ones.
-    let stay = (300..1_300).filter(|port| is_own(chosen(&mut fixture, *port, 5, 2))).count();
-    assert!((150..250).contains(&stay), "{stay} of 1,000 flows went to busier targets");
+    // Beyond the margin load is balanced across zones: only flows whose first two targets are both
+    // in this zone, a fifth of all, stay at the busier targets.
+    let staying = (300..1_300).filter(|port| is_own(chosen(&mut fixture, *port, 5, 2))).count();
+    assert!((150..250).contains(&staying), "{staying} of 1,000 flows went to busier targets");
 }
 
 #[test]
@@ -371,14 +378,14 @@
         fixture.balancer.heard(agent(number), 0, LATER);
     }
     assert!(is_far(chosen(&mut fixture, 500)));
-    // The other region sees it the other way round.
+    // For a balancer in the other region, near and far are swapped.
     fixture.view = store.view_from("far");
     fixture.balancer.heard(agent(1), 0, LATER);
     assert!((600..700).all(|port| is_far(chosen(&mut fixture, port))));
 }
 
 #[test]
-fn a_region_without_targets_uses_another() {
+fn region_without_targets_uses_another() {
     let mut store = Store::with_targets(0);
     store.target(51, SERVICE, Some(TargetState::Ready), 0);
     store.target(52, SERVICE, Some(TargetState::Ready), 0);
@@ -389,7 +396,7 @@
 }
 
 #[test]
-fn without_the_store_flows_go_by_the_agents_word() {
+fn agent_reports_replace_missing_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(0));
     fixture.fresh = false;
     fixture.claimed(agent(1), LATER);
--- a/crates/steering/tests/caller_shares.rs
+++ b/crates/steering/tests/caller_shares.rs
@@ -1,5 +1,5 @@
-//! Callers among themselves: the load is one caller with many openings among those with
-//! one, at a service without room for all.
+//! Fairness between callers: one caller with many openings competes with many callers that have one
+//! each, at a service without capacity for all of them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -11,18 +11,19 @@
 const HEAVY: Ipv4Addr = Ipv4Addr::new(10, 9, 9, 9);
 const LIGHT_CALLERS: u64 = 40;
 const HEAVY_OPENINGS: u64 = 50;
-/// Seconds of a run, a hundred epochs of the ranks: callers have equal shares over many.
+/// Duration of a run: a hundred epochs of the ranks, because shares are equal only over many
+/// epochs.
 const SECONDS: u64 = 400;
-/// Seconds at its begin that are not counted.
-const SETTLING_SECONDS: u64 = 1;
+/// Initial seconds of a run that are not counted.
+const WARM_UP_SECONDS: u64 = 1;
 
 fn light(number: u64) -> Ipv4Addr {
     Ipv4Addr::from_bits(0x0a01_0000 + number as u32)
 }
 
-/// What each caller was granted and refused.
+/// Numbers of a caller's admitted and refused openings.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fate {
+struct Outcomes {
     served: u64,
     refused: u64,
 }
@@ -32,7 +33,7 @@
     rate: AdmissionRate,
     shares: CallerShares,
     waiting: VecDeque<Ipv4Addr>,
-    fates: BTreeMap<Ipv4Addr, Fate>,
+    outcomes: BTreeMap<Ipv4Addr, Outcomes>,
 }
 
 impl Queue {
@@ -43,8 +44,8 @@
             self.rate.waiting_began(now);
             self.shares.waits(caller);
             self.waiting.push_back(caller);
-        } else if now >= SETTLING_SECONDS * 1_000 {
-            self.fates.entry(caller).or_default().refused += 1;
+        } else if now >= WARM_UP_SECONDS * 1_000 {
+            self.outcomes.entry(caller).or_default().refused += 1;
         }
     }
 
@@ -55,26 +56,26 @@
         if self.waiting.is_empty() {
             self.rate.waiting_ended(now);
         }
-        if now >= SETTLING_SECONDS * 1_000 {
-            self.fates.entry(caller).or_default().served += 1;
+        if now >= WARM_UP_SECONDS * 1_000 {
+            self.outcomes.entry(caller).or_default().served += 1;
         }
     }
 
-    fn fate(&self, caller: Ipv4Addr) -> Fate {
-        self.fates.get(&caller).copied().unwrap_or_default()
+    fn outcomes_of(&self, caller: Ipv4Addr) -> Outcomes {
+        self.outcomes.get(&caller).copied().unwrap_or_default()
     }
 
-    fn light_fates(&self) -> impl Iterator<Item = Fate> {
-        (0..LIGHT_CALLERS).map(|number| self.fate(light(number)))
+    fn light_outcomes(&self) -> impl Iterator<Item = Outcomes> {
+        (0..LIGHT_CALLERS).map(|number| self.outcomes_of(light(number)))
     }
 }
 
-/// Forty callers open one flow a second each, in an order that changes with each second:
-/// in the same order, the few places of a short queue would always be free for the same
-/// ones. Another caller opens fifty.
+/// Forty callers open one flow per second each, in an order that changes every second; with a fixed
+/// order, the few places of a short queue would always be free for the same callers. One more
+/// caller opens fifty flows per second.
 fn run(capacity: u64) -> Queue {
     let mut queue = Queue::default();
-    let mut room_due = 0;
+    let mut admissions_due = 0;
     for now in 0..SECONDS * 1_000 {
         let in_second = now % 1_000;
         if in_second % (1_000 / HEAVY_OPENINGS) == 0 {
@@ -84,9 +85,9 @@
             let place = in_second / (1_000 / LIGHT_CALLERS) + now / 1_000 * 7;
             queue.arrive(light(place % LIGHT_CALLERS), now);
         }
-        room_due = (room_due + capacity).min(1_999);
-        if room_due >= 1_000 && !queue.waiting.is_empty() {
-            room_due -= 1_000;
+        admissions_due = (admissions_due + capacity).min(1_999);
+        if admissions_due >= 1_000 && !queue.waiting.is_empty() {
+            admissions_due -= 1_000;
             queue.admit_first(now);
         }
     }
@@ -94,36 +95,43 @@
 }
 
 #[test]
-fn callers_with_one_opening_are_served_while_there_is_room_for_them() {
+fn callers_with_one_opening_are_served_while_there_is_capacity() {
     for capacity in [60, 75] {
         let queue = run(capacity);
-        let light_refused: u64 = queue.light_fates().map(|fate| fate.refused).sum();
-        let light_openings = LIGHT_CALLERS * (SECONDS - SETTLING_SECONDS);
-        assert!(light_refused * 50 <= light_openings, "{light_refused} of {light_openings}");
-        // Who has more gets what the others leave.
-        let heavy = queue.fate(HEAVY).served;
-        let left = (capacity - LIGHT_CALLERS) * (SECONDS - SETTLING_SECONDS);
-        assert!(heavy >= left * 9 / 10, "{heavy} served of {left} left, {capacity} a second");
+        let light_refused: u64 =
+            queue.light_outcomes().map(|caller_outcomes| caller_outcomes.refused).sum();
+        let light_openings = LIGHT_CALLERS * (SECONDS - WARM_UP_SECONDS);
+        assert!(
+            light_refused * 50 <= light_openings,
+            "{light_refused} of {light_openings} refused"
+        );
+        // A caller with more openings gets the capacity that the others leave.
+        let heavy = queue.outcomes_of(HEAVY).served;
+        let left = (capacity - LIGHT_CALLERS) * (SECONDS - WARM_UP_SECONDS);
+        assert!(
+            heavy >= left * 9 / 10,
+            "{heavy} served of {left} left, capacity {capacity} per second"
+        );
     }
 }
 
 #[test]
-fn with_room_for_fewer_than_there_are_callers_all_get_about_the_same() {
+fn callers_get_similar_shares_when_capacity_is_short() {
     let queue = run(30);
-    let seconds = SECONDS - SETTLING_SECONDS;
-    let heavy = queue.fate(HEAVY).served;
+    let seconds = SECONDS - WARM_UP_SECONDS;
+    let heavy = queue.outcomes_of(HEAVY).served;
     assert!(heavy <= 3 * seconds, "{heavy} served in {seconds} s");
     assert!(heavy > 0);
-    for fate in queue.light_fates() {
-        assert!(fate.served * 2 >= seconds, "{fate:?}");
+    for caller_outcomes in queue.light_outcomes() {
+        assert!(caller_outcomes.served * 2 >= seconds, "{caller_outcomes:?}");
     }
 }
 
 #[test]
-fn one_burst_of_many_openings_does_not_push_out_later_callers() {
+fn burst_of_one_caller_does_not_displace_later_callers() {
     let mut queue = Queue::default();
-    let begin = SETTLING_SECONDS * 1_000;
-    // Some others were served just before.
+    let begin = WARM_UP_SECONDS * 1_000;
+    // Some other callers were served just before.
     for number in 0..LIGHT_CALLERS {
         queue.shares.waits(light(number));
         queue.shares.admitted(light(number), begin);
@@ -136,13 +144,14 @@
         queue.admit_first(now);
         queue.arrive(light(100 + number), now);
     }
-    let refused = (0..LIGHT_CALLERS).filter(|number| queue.fate(light(100 + number)).refused > 0);
+    let refused =
+        (0..LIGHT_CALLERS).filter(|number| queue.outcomes_of(light(100 + number)).refused > 0);
     assert_eq!(refused.count(), 0);
-    assert!(queue.fate(HEAVY).refused >= HEAVY_OPENINGS - 2);
+    assert!(queue.outcomes_of(HEAVY).refused >= HEAVY_OPENINGS - 2);
 }
 
 #[test]
-fn a_caller_on_its_own_keeps_its_rank() {
+fn single_caller_keeps_its_rank() {
     let mut shares = CallerShares::default();
     for _ in 0..HEAVY_OPENINGS {
         shares.waits(HEAVY);
@@ -151,7 +160,7 @@
 }
 
 #[test]
-fn callers_with_equal_numbers_are_equals() {
+fn callers_with_equal_openings_keep_their_ranks() {
     let mut shares = CallerShares::default();
     for caller in [light(1), light(2), light(3)] {
         for _ in 0..20 {
@@ -165,7 +174,7 @@
 }
 
 #[test]
-fn what_was_admitted_counts_for_a_second() {
+fn admitted_openings_count_for_a_second() {
     let mut shares = CallerShares::default();
     shares.waits(light(1));
     for _ in 0..5 {
@@ -190,7 +199,7 @@
 }
 
 #[test]
-fn ranks_get_worse_with_each_share_and_keep_their_order() {
+fn rank_worsens_with_each_share_and_keeps_its_order() {
     let ranks = [0, 1, 20_000, 40_000, u16::MAX].map(CallerRank::from);
     for times in 0..200 {
         let worse = ranks.map(|rank| rank.with_shares(times + 1));
@@ -204,13 +213,13 @@
 }
 
 #[test]
-fn the_table_stays_bounded() {
+fn recent_openings_are_bounded() {
     let mut shares = CallerShares::default();
     for number in 0..10_000 {
         shares.waits(light(number));
         shares.admitted(light(number), 5);
     }
-    // The first of these are no longer known.
+    // The first of these callers have been dropped from the table.
     shares.waits(light(0));
     shares.waits(light(0));
     let rank = shares.rank(light(0), CallerRank::SERVED_FIRST, 5);
--- a/crates/steering/tests/evacuation.rs
+++ b/crates/steering/tests/evacuation.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_new_flow_goes_to_the_zone_and_all_return_afterwards() {
+fn evacuated_zone_gets_no_new_flows_until_it_returns() {
     let mut store = store();
     store.evacuate(&["a"], LATER);
     let mut fixture = fixture(&store);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn with_nothing_left_openings_are_refused_at_once_also_while_the_store_is_down() {
+fn openings_are_refused_when_all_zones_are_evacuated() {
     let mut store = store();
     store.evacuate(&["a", "b"], LATER);
     for fresh in [true, false] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn targets_known_by_their_agents_word_alone_are_left_out_too() {
+fn evacuated_targets_known_only_from_reports_get_no_flows() {
     let mut store = Store::default();
     store.route(&[(SERVICE, 1)]);
     store.evacuate(&["a"], LATER);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn targets_that_lost_their_record_are_left_out_too() {
+fn evacuated_targets_without_a_record_get_no_flows() {
     let mut store = store();
     for number in [1, 2] {
         store.target(number, SERVICE, None, LATER);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn open_flows_of_the_zone_are_still_found() {
+fn open_flows_in_evacuated_zones_are_still_found() {
     let mut store = store();
     store.evacuate(&["a", "b"], LATER);
     let mut fixture = fixture(&store);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_opening_that_an_agent_of_the_zone_sends_back_waits_elsewhere() {
+fn opening_returned_by_an_evacuated_target_waits_elsewhere() {
     let mut store = store();
     let mut fixture = fixture(&store);
     let head = opening(flow(1));
@@ -105,7 +105,8 @@
     let third = fixture.returned(&head, second.agent, ReturnReason::Evacuated, LATER + 20);
     let third = forwarded(&third).clone();
     assert_ne!(third.agent.octets()[3] < 50, zone == "a");
-    // It met a target without room here for the first time: it may wait there.
+    // The packet met a target without capacity in this zone for the first time, so it may wait
+    // there.
     let fourth = fixture.returned(&head, third.agent, ReturnReason::Busy, LATER + 22);
     assert!(forwarded(&fourth).may_wait());
 }
@@ -124,28 +125,34 @@
 }
 
 #[test]
-fn the_agent_refuses_what_a_balancer_sent_in_ignorance() {
-    let mut beside = Agent::new(ServiceId::of(SERVICE));
-    beside.set_slots(1);
+fn agent_of_an_evacuated_target_refuses_openings() {
+    let mut evacuated_agent = Agent::new(ServiceId::of(SERVICE));
+    evacuated_agent.set_slots(1);
     let open = opening(flow(1));
-    assert!(matches!(beside.delivery(&arrival(&open), 0), DeliveryDecision::Deliver { .. }));
+    assert!(matches!(
+        evacuated_agent.delivery(&arrival(&open), 0),
+        DeliveryDecision::Deliver { .. }
+    ));
     let waiting = opening(flow(2));
-    beside.delivery(&arrival(&data(flow(1))), 1);
-    beside.delivery(&arrival(&data(flow(8))), 1);
-    assert!(matches!(beside.delivery(&arrival(&waiting), 2), DeliveryDecision::Wait { .. }));
-    beside.set_evacuated(true);
+    evacuated_agent.delivery(&arrival(&data(flow(1))), 1);
+    evacuated_agent.delivery(&arrival(&data(flow(8))), 1);
+    assert!(matches!(
+        evacuated_agent.delivery(&arrival(&waiting), 2),
+        DeliveryDecision::Wait { .. }
+    ));
+    evacuated_agent.set_evacuated(true);
     let refused = DeliveryDecision::Return(ReturnReason::Evacuated);
-    assert_eq!(beside.delivery(&arrival(&opening(flow(3))), 3), refused);
-    let outcome = beside.next_outcome(3);
+    assert_eq!(evacuated_agent.delivery(&arrival(&opening(flow(3))), 3), refused);
+    let outcome = evacuated_agent.next_outcome(3);
     assert!(matches!(outcome, Some(WaitOutcome::Return(_, ReturnReason::Evacuated))));
-    // The flow that is open goes on, and so does a copy of its opening packet; the same
-    // port much later is another flow.
-    let later = beside.delivery(&arrival(&data(flow(1))), 4);
+    // The open flow continues, and a retransmission of its opening packet is accepted. The same
+    // port much later belongs to a new flow.
+    let later = evacuated_agent.delivery(&arrival(&data(flow(1))), 4);
     assert!(matches!(later, DeliveryDecision::Deliver { .. }));
-    let copy = beside.delivery(&arrival(&open), 200);
-    assert!(matches!(copy, DeliveryDecision::Deliver { .. }));
-    assert_eq!(beside.delivery(&arrival(&open), 2_500), refused);
-    beside.set_evacuated(false);
-    let again = beside.delivery(&arrival(&opening(flow(4))), 2_600);
+    let retransmission = evacuated_agent.delivery(&arrival(&open), 200);
+    assert!(matches!(retransmission, DeliveryDecision::Deliver { .. }));
+    assert_eq!(evacuated_agent.delivery(&arrival(&open), 2_500), refused);
+    evacuated_agent.set_evacuated(false);
+    let again = evacuated_agent.delivery(&arrival(&opening(flow(4))), 2_600);
     assert!(matches!(again, DeliveryDecision::Deliver { .. } | DeliveryDecision::Wait { .. }));
 }
--- a/crates/steering/tests/home_regions.rs
+++ b/crates/steering/tests/home_regions.rs
@@ -1,4 +1,4 @@
-//! Packets of a route that is bound to regions do not leave them.
+//! Packets of a route with permitted regions stay in these regions.
 
 mod support;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn openings_go_to_targets_of_the_permitted_regions_however_busy_these_are() {
+fn openings_stay_in_permitted_regions_under_load() {
     for (allowed, targets) in [("near", [1, 2]), ("far", [51, 52])] {
         let mut fixture = Fixture::new(&store(&[allowed]));
         for number in targets {
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn with_no_target_in_the_permitted_regions_openings_are_refused_at_once() {
+fn openings_are_refused_without_targets_in_permitted_regions() {
     let mut fixture = Fixture::new(&store(&["elsewhere"]));
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
     assert_eq!(fixture.client(&opening(flow(1)), LATER), refused);
 }
 
 #[test]
-fn searches_stay_in_the_permitted_regions() {
+fn searches_stay_in_permitted_regions() {
     let mut fixture = Fixture::new(&store(&["near"]));
     fixture.balancer.claimed(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
     fixture.claimed(agent(3), LATER);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn packets_are_handed_off_only_inside_the_permitted_regions() {
+fn packets_are_handed_off_only_in_permitted_regions() {
     let helper = Ipv4Addr::new(10, 0, 9, 9);
     for (allowed, is_handed) in [("near", true), ("far", false)] {
         let mut fixture = Fixture::new(&store(&[allowed]));
--- a/crates/steering/tests/narrow_link.rs
+++ b/crates/steering/tests/narrow_link.rs
@@ -1,5 +1,5 @@
-//! Lost flows behind a narrow link: the searches for their targets must not fill it so
-//! that answers come too late, which would call for still more searches.
+//! Lost flows behind a narrow link: the searches for their targets must not fill the link, because
+//! answers would then arrive too late and cause further searches.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use weirhinge_fleet::{Millis, Timing};
 use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, FlowKey, PacketHead};
 
-/// What a link of 10 Mbit/s carries in a millisecond, each way.
-const BYTES_A_MS: usize = 1_250;
-/// A searching packet on the wire: 100 bytes of data and the heads.
+/// Bytes that a link of 10 Mbit/s carries per millisecond, in each direction.
+const BYTES_PER_MS: usize = 1_250;
+/// Size of a search packet on the wire: 100 bytes of data plus the headers.
 const PACKET_BYTES: usize = 230;
-/// Packets that a link holds before it drops further ones.
-const QUEUE: usize = 1_000;
-/// Time from one daemon to the next.
-const TRIP_MS: Millis = 2;
-/// Targets of the service.
+/// Number of packets that a link queues before it drops further ones.
+const LINK_QUEUE_LENGTH: usize = 1_000;
+/// Transit time from one daemon to another.
+const TRANSIT_MS: Millis = 2;
+/// Number of targets of the service.
 const TARGETS: u32 = 41;
 
 /// One direction of the balancer's link.
@@ -31,14 +31,14 @@
 
 impl<T> Link<T> {
     fn send(&mut self, packet: T) {
-        if self.queue.len() < QUEUE {
+        if self.queue.len() < LINK_QUEUE_LENGTH {
             self.queue.push_back(packet);
         }
     }
 
-    /// What gets through in one millisecond.
+    /// Returns the packets that pass the link in one millisecond.
     fn tick(&mut self) -> Vec<T> {
-        self.credit = (self.credit + BYTES_A_MS).min(BYTES_A_MS.max(PACKET_BYTES) * 2);
+        self.credit = (self.credit + BYTES_PER_MS).min(BYTES_PER_MS.max(PACKET_BYTES) * 2);
         let count = (self.credit / PACKET_BYTES).min(self.queue.len());
         self.credit -= count * PACKET_BYTES;
         self.carried += count;
@@ -46,28 +46,28 @@
     }
 }
 
-/// A balancer that knows no flow, behind its link, before targets that hold none.
+/// A balancer without any flows behind a narrow link, and targets that hold none of the flows.
 struct Simulation {
     fixture: Fixture,
     now: Millis,
-    /// Until when the agents have not started.
-    agents_from: Millis,
+    /// When the agents start; packets before that are lost.
+    agents_start_at: Millis,
     outward: Link<(PacketHead, Vec<Ipv4Addr>)>,
     inward: Link<(PacketHead, Ipv4Addr)>,
-    /// Packets that come back to the balancer's link, by time.
+    /// Packets on their way back to the balancer's link, by arrival time.
     returning: BTreeMap<Millis, Vec<(PacketHead, Ipv4Addr)>>,
     reset_at: BTreeMap<FlowKey, Millis>,
 }
 
 impl Simulation {
-    fn new(agents_from: Millis) -> Self {
+    fn new(agents_start_at: Millis) -> Self {
         let mut fixture = Fixture::new(&Store::with_many_targets(TARGETS));
         let limits = BalancerLimits { link_kbps: Some(10_000), ..BalancerLimits::default() };
         fixture.balancer = Balancer::with_limits(Timing::default(), limits);
         Self {
             fixture,
             now: LATER,
-            agents_from: LATER + agents_from,
+            agents_start_at: LATER + agents_start_at,
             outward: Link { queue: VecDeque::new(), credit: 0, carried: 0 },
             inward: Link { queue: VecDeque::new(), credit: 0, carried: 0 },
             returning: BTreeMap::new(),
@@ -75,11 +75,11 @@
         }
     }
 
-    fn carry_out(&mut self, head: &PacketHead, decision: &Decision) {
+    fn execute(&mut self, head: &PacketHead, decision: &Decision) {
         match decision {
             Decision::Forward(_) => {
-                for row in rows(decision) {
-                    self.outward.send((*head, row));
+                for path in rows(decision) {
+                    self.outward.send((*head, path));
                 }
             }
             Decision::Reset { .. } => {
@@ -92,10 +92,10 @@
 
     fn step(&mut self) {
         self.now += 1;
-        for (head, row) in self.outward.tick() {
-            if self.now >= self.agents_from {
-                let back = self.now + TRIP_MS * (row.len() as Millis + 1);
-                let last = row[row.len() - 1];
+        for (head, path) in self.outward.tick() {
+            if self.now >= self.agents_start_at {
+                let back = self.now + TRANSIT_MS * (path.len() as Millis + 1);
+                let last = path[path.len() - 1];
                 self.returning.entry(back).or_default().push((head, last));
             }
         }
@@ -104,31 +104,31 @@
         }
         for (head, from) in self.inward.tick() {
             let decision = self.fixture.bounced(&head, from, self.now);
-            self.carry_out(&head, &decision);
+            self.execute(&head, &decision);
         }
         if self.now.is_multiple_of(4) {
             for (head, _) in self.fixture.balancer.due_searches(self.now) {
                 let decision = self.fixture.search_again(&head, self.now);
-                self.carry_out(&head, &decision);
+                self.execute(&head, &decision);
             }
         }
     }
 
-    /// Clients of these flows send a packet each within 100 ms, and again until they are
-    /// reset. Returns the time until the last one was.
+    /// Each flow's client sends a packet within the first 100 ms and retransmits it until the flow
+    /// is reset. Returns the time until the last flow is reset.
     fn reset_all(&mut self, flows: u16) -> Millis {
         let heads: Vec<PacketHead> = (0..flows).map(|number| data(flow(number))).collect();
         let began = self.now;
         while self.reset_at.len() < heads.len() {
             let elapsed = self.now - began;
-            assert!(elapsed < 30_000, "{} of {flows} reset", self.reset_at.len());
+            assert!(elapsed < 30_000, "{} of {flows} flows reset in time", self.reset_at.len());
             for (place, head) in heads.iter().enumerate() {
                 let first = place as Millis * 100 / Millis::from(flows);
                 let sends = [0, 200, 600, 1_400, 3_000, 4_600, 6_200, 7_800, 9_400];
-                let is_sent = sends.iter().any(|after| elapsed == first + after);
-                if is_sent && !self.reset_at.contains_key(&head.client_flow()) {
+                let is_sent_now = sends.iter().any(|after| elapsed == first + after);
+                if is_sent_now && !self.reset_at.contains_key(&head.client_flow()) {
                     let decision = self.fixture.client(head, self.now);
-                    self.carry_out(head, &decision);
+                    self.execute(head, &decision);
                 }
             }
             self.step();
@@ -137,50 +137,50 @@
     }
 }
 
-/// A loss of power that 19 balancers come back from with 3,500 lost flows: some 190 for
-/// each. Agents start 150 ms after the balancer, which has sent its first packets in vain
-/// by then.
+/// A power loss after which 19 balancers restart with 3,500 lost flows, about 190 each. The agents
+/// start 150 ms after the balancer, whose first packets are lost by then.
 #[test]
-fn lost_flows_are_reset_soon_though_the_first_packets_reached_nobody() {
+fn lost_flows_are_reset_soon_despite_lost_first_packets() {
     let mut simulation = Simulation::new(150);
-    let took = simulation.reset_all(190);
-    assert!(took <= 1_500, "{took} ms");
-    // Seven rows for each flow, those that were lost twice, and not much more.
+    let elapsed_ms = simulation.reset_all(190);
+    assert!(elapsed_ms <= 1_500, "{elapsed_ms} ms");
+    // Seven paths per flow, doubled for the packets lost at first, and little more.
     let packets = simulation.outward.carried;
     assert!(packets <= 190 * 14, "{packets} packets");
 }
 
-/// With four times as many flows the link is busy for longer, but with the first copies
-/// alone: time grows as the work does.
+/// With four times as many flows the link is busy longer, but only with the first search packets:
+/// the time grows linearly with the number of flows.
 #[test]
-fn more_flows_than_the_link_carries_at_once_are_reset_as_it_carries_them() {
+fn reset_time_grows_linearly_with_lost_flows() {
     let mut simulation = Simulation::new(150);
-    let took = simulation.reset_all(760);
-    assert!(took <= 4_500, "{took} ms");
+    let elapsed_ms = simulation.reset_all(760);
+    assert!(elapsed_ms <= 4_500, "{elapsed_ms} ms");
     let packets = simulation.outward.carried;
     assert!(packets <= 760 * 14, "{packets} packets");
 }
 
-/// Sends first packets of lost flows, all at one moment. Returns how many searches began.
-fn begun_at_once(link_kbps: Option<u32>) -> usize {
+/// Sends the first packets of 400 lost flows at the same time. Returns the number of searches
+/// started.
+fn searches_started_at_once(link_kbps: Option<u32>) -> usize {
     let mut fixture = Fixture::new(&Store::with_many_targets(TARGETS));
     let limits = BalancerLimits { link_kbps, ..BalancerLimits::default() };
     fixture.balancer = Balancer::with_limits(Timing::default(), limits);
-    let begins =
+    let starts =
         |number| matches!(fixture.client(&data(flow(number)), LATER), Decision::Forward(_));
-    (0..400).map(begins).filter(|begins| *begins).count()
+    (0..400).map(starts).filter(|is_started| *is_started).count()
 }
 
 #[test]
-fn searches_begin_as_far_as_the_link_allows() {
-    // 40 ms of seven tenths of 10 Mbit/s are 35,000 bytes, 230 for each packet.
-    assert_eq!(begun_at_once(Some(10_000)), 35_000_usize.div_ceil(230));
-    assert_eq!(begun_at_once(Some(1_000_000)), 400);
-    assert_eq!(begun_at_once(None), 400, "a link of unknown rate bounds nothing");
+fn searches_start_within_the_link_budget() {
+    // Seventy percent of 10 Mbit/s for 40 ms is 35,000 bytes, at 230 bytes per packet.
+    assert_eq!(searches_started_at_once(Some(10_000)), 35_000_usize.div_ceil(230));
+    assert_eq!(searches_started_at_once(Some(1_000_000)), 400);
+    assert_eq!(searches_started_at_once(None), 400, "a link of unknown rate imposes no limit");
 }
 
 #[test]
-fn a_search_that_waits_begins_when_the_link_is_free_again() {
+fn deferred_search_starts_when_the_link_is_free() {
     let mut fixture = Fixture::new(&Store::with_many_targets(TARGETS));
     let limits = BalancerLimits { link_kbps: Some(10_000), ..BalancerLimits::default() };
     fixture.balancer = Balancer::with_limits(Timing::default(), limits);
--- a/crates/steering/tests/queue_delay.rs
+++ b/crates/steering/tests/queue_delay.rs
@@ -1,4 +1,4 @@
-//! Whether an opening may wait: the load is a crowd that outlasts the queue.
+//! Whether an opening may wait, in an overload that outlasts the queue.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -6,25 +6,25 @@
 use weirhinge_fleet::Millis;
 use weirhinge_steering::{AdmissionRate, CallerRank, caller_rank, may_wait};
 
-/// What is left of a caller's objective for waiting.
+/// Part of a caller's objective that is left for waiting.
 const BUDGET_MS: Millis = 200;
-/// Openings that find room in a second.
+/// Openings admitted per second.
 const CAPACITY: u64 = 400;
 const CALLERS: u32 = 1_000;
 const FIRST: CallerRank = CallerRank::SERVED_FIRST;
 const LAST: CallerRank = CallerRank::REFUSED_FIRST;
 
-/// One opening's fate.
+/// Outcome of one opening.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
     caller: u32,
     arrived_at: Millis,
-    /// When it was refused or found room.
+    /// When the opening was refused or admitted.
     ended_at: Millis,
     was_refused: bool,
 }
 
-/// A queue with steady arrivals and room that comes at steady intervals.
+/// A queue with steady arrivals and steady admissions.
 #[derive(Default)]
 struct Queue {
     rate: AdmissionRate,
@@ -32,13 +32,13 @@
     outcomes: Vec<Outcome>,
     now: Millis,
     arrivals: u64,
-    /// Parts of an arrival and of an admission that are due, in thousandths.
+    /// Fractions of an arrival and of an admission that are due, in thousandths.
     arrivals_due: u64,
-    room_due: u64,
+    admissions_due: u64,
 }
 
 impl Queue {
-    /// Runs for `length_ms` with so many arrivals and so much room in a second.
+    /// Runs for `length_ms` with the given numbers of arrivals and admissions per second.
     fn run(&mut self, length_ms: Millis, arrivals: u64, capacity: u64) {
         for _ in 0..length_ms {
             self.arrivals_due += arrivals;
@@ -46,9 +46,9 @@
                 self.arrivals_due -= 1_000;
                 self.arrive();
             }
-            self.room_due = (self.room_due + capacity).min(1_999);
-            if self.room_due >= 1_000 && !self.waiting.is_empty() {
-                self.room_due -= 1_000;
+            self.admissions_due = (self.admissions_due + capacity).min(1_999);
+            if self.admissions_due >= 1_000 && !self.waiting.is_empty() {
+                self.admissions_due -= 1_000;
                 self.admit_first();
             }
             self.now += 1;
@@ -56,7 +56,7 @@
     }
 
     fn arrive(&mut self) {
-        // A stride without a common divisor visits all callers in turn.
+        // The stride is coprime to the number of callers, so all callers take turns.
         let caller = (self.arrivals * 377 % u64::from(CALLERS)) as u32;
         self.arrivals += 1;
         let ahead = self.waiting.len();
@@ -82,7 +82,7 @@
         self.outcomes.push(Outcome { caller, arrived_at, ended_at: self.now, was_refused });
     }
 
-    /// Openings that arrived in this span and were refused.
+    /// Number of openings that arrived in this span and were refused.
     fn refused(&self, from: Millis, to: Millis) -> usize {
         let span = from..to;
         let is_refusal =
@@ -90,7 +90,7 @@
         self.outcomes.iter().filter(is_refusal).count()
     }
 
-    /// Waits of openings that found room in this span.
+    /// Waits of openings admitted in this span, in milliseconds.
     fn waits(&self, from: Millis, to: Millis) -> Vec<Millis> {
         let span = from..to;
         let served = self.outcomes.iter().filter(|outcome| !outcome.was_refused);
@@ -99,12 +99,12 @@
     }
 }
 
-/// A rank within one epoch of all callers.
+/// The caller's rank at a fixed time, so that all callers are in one epoch.
 fn rank(caller: u32) -> CallerRank {
     caller_rank(Ipv4Addr::from_bits(0x0a01_0000 + caller), 0)
 }
 
-/// Admits at a steady interval. Returns the time after the last admission.
+/// Admits openings at a steady interval. Returns the time of the last admission.
 fn admit_every(rate: &mut AdmissionRate, interval_ms: Millis, count: u64, from: Millis) -> Millis {
     rate.waiting_began(from);
     for number in 1..=count {
@@ -114,22 +114,25 @@
 }
 
 #[test]
-fn a_crowd_is_refused_at_the_rate_at_which_there_is_no_room() {
+fn refusal_rate_matches_the_excess_arrivals() {
     for arrivals in [CAPACITY * 12 / 10, CAPACITY * 2] {
         let mut queue = Queue::default();
         queue.run(3_000, arrivals, CAPACITY);
         for from in (500..3_000).step_by(250) {
             let expected = (arrivals - CAPACITY) / 4;
             let refused = queue.refused(from, from + 250) as u64;
-            // A tenth of what there is room for.
+            // The tolerance is a tenth of the admissions.
             let difference = refused.abs_diff(expected);
-            assert!(difference <= CAPACITY / 40, "{refused} refused from {from} ms, {expected}");
+            assert!(
+                difference <= CAPACITY / 40,
+                "{refused} refused from {from} ms, expected {expected}"
+            );
         }
     }
 }
 
 #[test]
-fn the_wait_in_a_crowd_is_steady_and_within_the_budget() {
+fn wait_under_overload_is_steady_and_within_the_budget() {
     for arrivals in [CAPACITY * 12 / 10, CAPACITY * 2, CAPACITY * 10] {
         let mut queue = Queue::default();
         queue.run(3_000, arrivals, CAPACITY);
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn room_is_never_left_unused_in_a_crowd() {
+fn capacity_is_fully_used_under_overload() {
     for arrivals in [CAPACITY * 12 / 10, CAPACITY * 2, CAPACITY * 10] {
         let mut queue = Queue::default();
         queue.run(2_000, arrivals, CAPACITY);
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn nobody_is_refused_a_second_after_the_crowd() {
+fn no_refusals_a_second_after_an_overload() {
     let mut queue = Queue::default();
     queue.run(2_000, CAPACITY * 2, CAPACITY);
     queue.run(3_000, CAPACITY * 9 / 10, CAPACITY);
@@ -161,27 +164,32 @@
 }
 
 #[test]
-fn nobody_is_refused_while_there_is_room() {
+fn no_refusals_below_capacity() {
     let mut queue = Queue::default();
     queue.run(5_000, CAPACITY * 95 / 100, CAPACITY);
     assert_eq!(queue.refused(0, 5_000), 0);
 }
 
 #[test]
-fn the_same_callers_are_refused_throughout_an_epoch() {
+fn same_callers_are_refused_throughout_an_epoch() {
     let mut queue = Queue::default();
     queue.run(4_000, CAPACITY * 2, CAPACITY);
-    let mut fates: BTreeMap<u32, (u32, u32)> = BTreeMap::new();
+    let mut outcomes_by_caller: BTreeMap<u32, (u32, u32)> = BTreeMap::new();
     for outcome in queue.outcomes.iter().filter(|outcome| outcome.arrived_at >= 500) {
-        let (served, refused) = fates.entry(outcome.caller).or_default();
+        let (served, refused) = outcomes_by_caller.entry(outcome.caller).or_default();
         *(if outcome.was_refused { refused } else { served }) += 1;
     }
-    let mixed = fates.values().filter(|(served, refused)| *served > 0 && *refused > 0).count();
-    assert!(mixed <= fates.len() / 10, "{mixed} of {} callers have both", fates.len());
+    let mixed =
+        outcomes_by_caller.values().filter(|(served, refused)| *served > 0 && *refused > 0).count();
+    assert!(
+        mixed <= outcomes_by_caller.len() / 10,
+        "{mixed} of {} callers were both served and refused",
+        outcomes_by_caller.len()
+    );
 }
 
 #[test]
-fn a_capacity_that_halves_and_returns_is_followed_within_a_second() {
+fn admission_adapts_to_a_capacity_change_within_a_second() {
     let mut queue = Queue::default();
     let arrivals = CAPACITY * 9 / 10;
     queue.run(2_000, arrivals, CAPACITY);
@@ -192,7 +200,10 @@
         let expected = (arrivals - CAPACITY / 2) / 4;
         let refused = queue.refused(from, from + 250) as u64;
         let difference = refused.abs_diff(expected);
-        assert!(difference <= CAPACITY / 2 / 10, "{refused} refused from {from} ms, {expected}");
+        assert!(
+            difference <= CAPACITY / 2 / 10,
+            "{refused} refused from {from} ms, expected {expected}"
+        );
     }
     let waits = queue.waits(3_000, 5_000);
     assert!(waits.iter().all(|wait| *wait <= BUDGET_MS), "{:?}", waits.iter().max());
@@ -200,7 +211,7 @@
 }
 
 #[test]
-fn the_expected_wait_is_the_number_ahead_over_the_rate() {
+fn expected_wait_is_the_number_ahead_over_the_rate() {
     for interval in [2, 10, 20] {
         let mut rate = AdmissionRate::default();
         let now = admit_every(&mut rate, interval, 500, 1_000);
@@ -211,8 +222,8 @@
 }
 
 #[test]
-fn a_low_rate_refuses_at_once_all_but_the_first() {
-    // Two a second: the second in the queue would wait for half a second.
+fn low_rate_refuses_all_but_the_first_opening() {
+    // At two admissions per second, the second opening in the queue would wait for half a second.
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 500, 10, 0);
     for after in 0..500 {
@@ -223,7 +234,7 @@
 }
 
 #[test]
-fn a_rate_that_dries_up_lets_the_expected_wait_grow() {
+fn expected_wait_grows_when_admissions_stop() {
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 5, 100, 0);
     let waits: Vec<Millis> =
@@ -235,7 +246,7 @@
 }
 
 #[test]
-fn a_few_may_wait_before_the_first_admission() {
+fn a_few_openings_may_wait_before_the_first_admission() {
     let mut rate = AdmissionRate::default();
     rate.waiting_began(1_000);
     assert_eq!(rate.expected_wait(5, 1_100), None);
@@ -244,7 +255,7 @@
 }
 
 #[test]
-fn time_without_waiting_openings_does_not_lower_the_rate() {
+fn idle_time_does_not_lower_the_rate() {
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 5, 100, 0);
     let before = rate.expected_wait(10, last);
@@ -254,7 +265,7 @@
 }
 
 #[test]
-fn a_rate_of_long_ago_is_forgotten() {
+fn outdated_rate_is_discarded() {
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 5, 100, 0);
     rate.waiting_ended(last);
@@ -263,7 +274,7 @@
 }
 
 #[test]
-fn the_caller_ranked_last_may_wait_a_quarter_of_its_budget() {
+fn lowest_ranked_caller_may_wait_a_quarter_of_its_budget() {
     assert!(may_wait(Some(BUDGET_MS), 9, BUDGET_MS, FIRST));
     assert!(!may_wait(Some(BUDGET_MS + 1), 9, BUDGET_MS, FIRST));
     assert!(may_wait(Some(BUDGET_MS / 4), 9, BUDGET_MS, LAST));
@@ -271,13 +282,13 @@
 }
 
 #[test]
-fn without_a_budget_nobody_waits() {
+fn no_opening_waits_without_a_budget() {
     assert!(!may_wait(Some(0), 0, 0, FIRST));
     assert!(!may_wait(None, 0, 0, FIRST));
 }
 
 #[test]
-fn clocks_that_go_back_do_no_harm() {
+fn clock_may_go_backwards() {
     let mut rate = AdmissionRate::default();
     admit_every(&mut rate, 10, 10, 5_000);
     rate.admitted(1_000);
--- a/crates/steering/tests/support/queue.rs
+++ b/crates/steering/tests/support/queue.rs
@@ -1,4 +1,4 @@
-//! Callers and agents around the openings that wait at a balancer.
+//! Helpers for tests of openings that wait at a balancer: callers, routes and grants.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,10 +10,10 @@
 
 use super::{Fixture, SERVICE, Store, agent, endpoint, forwarded, opening, route_to};
 
-/// Within which callers expect an answer.
+/// Time in milliseconds within which callers expect an answer.
 pub const OBJECTIVE: u64 = 1_000;
-/// What an opening may wait for of it: a request at a target whose agent told nothing takes
-/// 50 ms, and a journey 30 ms.
+/// Part of the objective that an opening may spend waiting: a request takes 50 ms at a target whose
+/// agent reported no times, and 30 ms in transit.
 pub const BUDGET: u64 = OBJECTIVE - 50 - 30;
 
 pub fn urgent_endpoint() -> SocketAddrV4 {
@@ -26,7 +26,7 @@
     Route { objective_ms: Some(OBJECTIVE), timeout_ms: Some(10_000), ..route }
 }
 
-/// An urgent route and another one, to a service of so many targets.
+/// An urgent route and a non-urgent one to a service with this many targets.
 pub fn store(targets: u8) -> Store {
     let mut store = Store::with_targets(targets);
     store.configure(vec![route(urgent_endpoint(), SERVICE, 1), route(endpoint(), SERVICE, 2)]);
@@ -37,23 +37,23 @@
     Ipv4Addr::from_bits(Ipv4Addr::new(100, 64, 0, 0).to_bits() + number)
 }
 
-pub fn flow_of(caller: Ipv4Addr) -> FlowKey {
+pub fn flow_from(caller: Ipv4Addr) -> FlowKey {
     FlowKey { client: SocketAddrV4::new(caller, 40_000), service: endpoint() }
 }
 
-/// Flows of callers that go before nearly all others.
-pub fn first_ranked(count: usize) -> Vec<FlowKey> {
+/// Flows of callers that are served before nearly all others.
+pub fn top_ranked_flows(count: usize) -> Vec<FlowKey> {
     let callers = (1..).map(caller);
     let callers = callers.filter(|caller| caller_rank(*caller, 0).value() < 4_096);
-    callers.take(count).map(flow_of).collect()
+    callers.take(count).map(flow_from).collect()
 }
 
 pub fn urgent(flow: FlowKey) -> FlowKey {
     FlowKey { service: urgent_endpoint(), ..flow }
 }
 
-/// The opening packet's copy of this number.
-pub fn copy(flow: FlowKey, number: u32) -> PacketHead {
+/// The opening packet's retransmission with this number.
+pub fn retransmission(flow: FlowKey, number: u32) -> PacketHead {
     PacketHead { acknowledgment: number, ..opening(flow) }
 }
 
@@ -65,14 +65,14 @@
     matches!(decision, Decision::Queue { .. })
 }
 
-/// The flow that a grant was used for.
+/// The flow that used a grant.
 pub fn granted_flow(answer: &GrantAnswer) -> Option<FlowKey> {
     answer.granted.as_ref().map(|opening| opening.head.client_flow())
 }
 
 impl Fixture {
-    /// An opening finds no room at any target.
-    pub fn open_at_busy(&mut self, flow: FlowKey, now: u64) -> Decision {
+    /// Opens a flow while no target has capacity.
+    pub fn open_without_capacity(&mut self, flow: FlowKey, now: u64) -> Decision {
         let head = opening(flow);
         match self.client(&head, now) {
             Decision::Forward(forward) => {
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Lets an opening wait.
+    /// Queues an opening.
     pub fn queue(&mut self, flow: FlowKey, now: u64) {
-        let decision = self.open_at_busy(flow, now);
+        let decision = self.open_without_capacity(flow, now);
         assert!(is_queued(&decision), "{decision:?}");
     }
 
@@ -97,16 +97,19 @@
         self.balancer.grant(&context, &grant)
     }
 
-    /// An agent grants room for any opening.
+    /// An agent grants capacity for any opening.
     pub fn grant(&mut self, number: u8, now: u64) -> GrantAnswer {
         self.grant_for(false, agent(number), now)
     }
 
-    /// The flow that an agent's grant is used for, and how many of the others still wait.
+    /// Uses an agent's grant. Returns the flow that used it and the number of non-urgent openings
+    /// still queued.
     pub fn serve(&mut self, number: u8, now: u64) -> Option<(FlowKey, u16)> {
         let granted = self.grant(number, now).granted?;
-        let left = forwarded(&granted.decision).granted.expect("what is left is told");
-        Some((granted.head.client_flow(), left.others.count))
+        let remaining = forwarded(&granted.decision)
+            .granted
+            .expect("a granted opening reports the remaining demand");
+        Some((granted.head.client_flow(), remaining.others.count))
     }
 
     pub fn due_refusals(&mut self, now: u64) -> Vec<SettledOpening> {
--- a/crates/steering/tests/undecided.rs
+++ b/crates/steering/tests/undecided.rs
@@ -1,4 +1,4 @@
-//! Packets that came before it was known where they could go.
+//! Packets that arrive before the balancer knows where to send them.
 
 mod support;
 
@@ -6,17 +6,17 @@
 use weirhinge_fleet::Timing;
 use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, PacketHead};
 
-/// A balancer that starts once lost the packets of its first milliseconds, and their
-/// clients waited for 200 to 800 ms until they sent them again.
+/// Guards against losing the packets that arrive in the first milliseconds after a balancer starts:
+/// their clients would wait 200 to 800 ms before they retransmit.
 #[test]
-fn packets_that_came_before_the_configuration_are_decided_about_with_it() {
+fn packets_before_the_configuration_are_decided_once_it_arrives() {
     let mut fixture = Fixture::new(&Store::default());
     for port in 1..=3 {
         fixture.client(&opening(flow(port)), LATER + u64::from(port));
     }
     fixture.client(&data(flow(4)), LATER + 4);
     assert!(fixture.balancer.next_due().is_some_and(|due_at| due_at <= LATER + 20));
-    assert!(fixture.due_undecided(LATER + 10).is_empty(), "nothing was learned yet");
+    assert!(fixture.due_undecided(LATER + 10).is_empty(), "the knowledge has not changed yet");
     fixture.view = Store::with_targets(2).view();
     let due = fixture.due_undecided(LATER + 30);
     let heads: Vec<PacketHead> = due.iter().map(|(head, _)| *head).collect();
@@ -26,28 +26,28 @@
         let decision = fixture.decide_again(head, LATER + 30);
         assert!(matches!(decision, Some(Decision::Forward(_))), "{decision:?}");
     }
-    assert!(fixture.due_undecided(LATER + 40).is_empty(), "each is decided about once");
+    assert!(fixture.due_undecided(LATER + 40).is_empty(), "each packet is decided about only once");
 }
 
 #[test]
-fn packets_without_a_target_wait_for_an_agents_word() {
-    let mut empty = Fixture::new(&Store::with_targets(0));
-    empty.fresh = false;
+fn packets_without_a_target_wait_for_an_agent_report() {
+    let mut fixture = Fixture::new(&Store::with_targets(0));
+    fixture.fresh = false;
     let dropped = Decision::Drop(DropReason::NoTargetYet);
-    assert_eq!(empty.client(&opening(flow(2)), LATER), dropped);
-    empty.due_undecided(LATER + 8);
-    assert!(empty.due_undecided(LATER + 16).is_empty());
-    empty.claimed(agent(9), LATER + 20);
-    let due = empty.due_undecided(LATER + 24);
+    assert_eq!(fixture.client(&opening(flow(2)), LATER), dropped);
+    fixture.due_undecided(LATER + 8);
+    assert!(fixture.due_undecided(LATER + 16).is_empty());
+    fixture.claimed(agent(9), LATER + 20);
+    let due = fixture.due_undecided(LATER + 24);
     assert_eq!(due.len(), 1);
-    let decision = empty.decide_again(&due[0].0, LATER + 24);
+    let decision = fixture.decide_again(&due[0].0, LATER + 24);
     assert_eq!(decision.as_ref().map(|decision| forwarded(decision).agent), Some(agent(9)));
 }
 
-/// With a hundredth of a processor, packets of long ago once kept a balancer from
-/// those that came after its configuration.
+/// Guards against old packets keeping a balancer with a hundredth of a processor from those that
+/// arrive after its configuration.
 #[test]
-fn a_weak_balancer_keeps_the_newest_packets_alone() {
+fn slow_balancer_keeps_only_the_newest_packets() {
     let mut fixture = Fixture::new(&Store::default());
     fixture.balancer = Balancer::with_limits(
         Timing::default(),
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn packets_that_nobody_routes_are_not_kept_for_ever() {
+fn unroutable_packets_expire() {
     let mut fixture = Fixture::new(&Store::default());
     fixture.client(&opening(flow(1)), LATER);
     fixture.due_undecided(LATER + 2_000);
