--- a/crates/steering/src/balancer/caller_shares.rs
+++ b/crates/steering/src/balancer/client_shares.rs
@@ -1,8 +1,8 @@
-//! Counts each caller's recent openings, so that a caller with many openings does not displace
-//! callers with one.
+//! Counts each client's recent openings, so that a client with many openings does not displace
+//! clients with one.
 //!
 //! An opening counts while it waits and for one second after its admission. Each balancer counts
-//! only the openings it receives; routers spread a caller's openings over all balancers.
+//! only the openings it receives; routers spread a client's openings over all balancers.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -17,47 +17,47 @@
 /// [`RECENT_MS`].
 const MAX_RECENT: usize = 1_024;
 
-/// Openings of each caller that are waiting or were admitted recently.
+/// Openings of each client that are waiting or were admitted recently.
 ///
 /// Holds at most one entry for each waiting opening, plus [`MAX_RECENT`] entries.
 #[derive(Clone, Debug, Default)]
-pub struct CallerShares {
+pub struct ClientShares {
     openings: HashMap<Ipv4Addr, u32>,
-    /// Sum of the openings of all callers.
+    /// Sum of the openings of all clients.
     total: u32,
     /// Admitted openings that still count, oldest first.
     recent: VecDeque<(Millis, Ipv4Addr)>,
 }
 
-impl CallerShares {
+impl ClientShares {
     /// Counts an opening that starts to wait.
-    pub fn waits(&mut self, caller: Ipv4Addr) {
-        *self.openings.entry(caller).or_default() += 1;
+    pub fn waits(&mut self, client: Ipv4Addr) {
+        *self.openings.entry(client).or_default() += 1;
         self.total += 1;
     }
 
     /// Records that a waiting opening was admitted.
-    pub fn admitted(&mut self, caller: Ipv4Addr, now: Millis) {
-        self.recent.push_back((now, caller));
+    pub fn admitted(&mut self, client: Ipv4Addr, now: Millis) {
+        self.recent.push_back((now, client));
         self.expire(now);
     }
 
     /// Records that a waiting opening left the queue without being admitted.
-    pub fn gave_up(&mut self, caller: Ipv4Addr) {
-        let Some(count) = self.openings.get_mut(&caller) else { return };
+    pub fn gave_up(&mut self, client: Ipv4Addr) {
+        let Some(count) = self.openings.get_mut(&client) else { return };
         *count -= 1;
         if *count == 0 {
-            self.openings.remove(&caller);
+            self.openings.remove(&client);
         }
         self.total -= 1;
     }
 
-    /// Returns the caller's rank for one more opening. The rank gets worse the further the caller's
-    /// number of openings exceeds the mean of the other callers. A caller at the mean keeps its
+    /// Returns the client's rank for one more opening. The rank gets worse the further the client's
+    /// number of openings exceeds the mean of the other clients. A client at the mean keeps its
     /// rank, because its last opening still counts when its next one arrives.
-    pub fn rank(&mut self, caller: Ipv4Addr, rank: CallerRank, now: Millis) -> CallerRank {
+    pub fn rank(&mut self, client: Ipv4Addr, rank: CallerRank, now: Millis) -> CallerRank {
         self.expire(now);
-        let own = self.openings.get(&caller).copied().unwrap_or(0);
+        let own = self.openings.get(&client).copied().unwrap_or(0);
         let others = self.openings.len() - usize::from(own > 0);
         if own == 0 || others == 0 {
             return rank;
@@ -67,13 +67,13 @@
     }
 
     fn expire(&mut self, now: Millis) {
-        while let Some((admitted_at, caller)) = self.recent.front().copied() {
+        while let Some((admitted_at, client)) = self.recent.front().copied() {
             let is_recent = now.saturating_sub(admitted_at) < RECENT_MS;
             if is_recent && self.recent.len() <= MAX_RECENT {
                 return;
             }
             self.recent.pop_front();
-            self.gave_up(caller);
+            self.gave_up(client);
         }
     }
 }
--- a/crates/steering/src/balancer/granting.rs
+++ b/crates/steering/src/balancer/granting.rs
@@ -27,7 +27,7 @@
 /// A queued packet that has been decided about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledOpening {
-    /// Head of the packet.
+    /// Header of the packet.
     pub head: PacketHead,
     /// The whole packet.
     pub bytes: Vec<u8>,
@@ -99,12 +99,12 @@
         let is_granting = |candidate: &&Candidate| candidate.agent == grant.agent;
         let known = context.view.candidates(grant.service).iter().find(is_granting);
         if let Some(known) = known.filter(|known| known.standing == Standing::Ready) {
-            let takes_flows = !known.evacuated && !self.is_unresponsive(known, context.now);
+            let takes_flows = !known.evacuated && !self.is_unhealthy(known, context.now);
             return takes_flows.then_some(*known);
         }
         let route = context.view.route(first.service)?;
         let eligible = self.eligible(context, route, grant.service, first.hash());
-        eligible.responsive.iter().find(is_granting).copied()
+        eligible.healthy.iter().find(is_granting).copied()
     }
 
     /// Returns the first queued flow that either may use the grant or no longer belongs to the
@@ -196,8 +196,8 @@
             let flow = self.late_binding.flow_for_further_request(service)?;
             let route = context.view.route(flow.service);
             let eligible = route.map(|route| self.eligible(context, route, service, flow.hash()));
-            let responsive = eligible.map(|eligible| eligible.responsive).unwrap_or_default();
-            let agents = self.agents_to_ask(service, &responsive, now);
+            let healthy = eligible.map(|eligible| eligible.healthy).unwrap_or_default();
+            let agents = self.agents_to_ask(service, &healthy, now);
             let demand = self.late_binding.demand(service, now);
             Some(RoomRequest { agents, service, demand })
         });
--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -1,4 +1,4 @@
-//! Tracks the openings queued at a balancer: their order, the rate of admissions, the callers they
+//! Tracks the openings queued at a balancer: their order, the rate of admissions, the clients they
 //! belong to, and which agents were asked for capacity.
 
 use std::collections::HashMap;
@@ -6,7 +6,7 @@
 
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId};
 
-use super::caller_shares::CallerShares;
+use super::client_shares::ClientShares;
 use super::opening_queue::{OpeningQueue, QueueClass, QueueEnd, QueuedOpening};
 use super::queue_delay::AdmissionRate;
 use crate::caller_rank::{CallerRank, caller_rank};
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct LateBinding {
     queue: OpeningQueue,
-    shares: CallerShares,
+    shares: ClientShares,
     services: HashMap<ServiceId, ServiceState>,
     /// When each agent was last asked for capacity.
     asked_at: HashMap<Ipv4Addr, Millis>,
@@ -74,11 +74,11 @@
         queue_end: QueueEnd,
         now: Millis,
     ) -> bool {
-        let (class, caller) = (opening.class, *opening.head.source.ip());
+        let (class, client_address) = (opening.class, *opening.head.source.ip());
         if !self.queue.push(opening, queue_end) {
             return false;
         }
-        self.shares.waits(caller);
+        self.shares.waits(client_address);
         self.service(class.service).rate(class.urgent).waiting_began(now);
         true
     }
@@ -159,9 +159,14 @@
         if rate.is_draining(now) { Trend::Draining } else { Trend::Growing }
     }
 
-    /// Returns a caller's rank for one more opening.
-    pub(super) fn rank(&mut self, caller: Ipv4Addr, unix_ms: u64, now: Millis) -> CallerRank {
-        self.shares.rank(caller, caller_rank(caller, unix_ms), now)
+    /// Returns a client's rank for one more opening.
+    pub(super) fn rank(
+        &mut self,
+        client_address: Ipv4Addr,
+        unix_ms: u64,
+        now: Millis,
+    ) -> CallerRank {
+        self.shares.rank(client_address, caller_rank(client_address, unix_ms), now)
     }
 
     /// Returns the flows queued for a service, in the order in which they are served.
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -1,6 +1,6 @@
 //! Decides where a balancer sends each packet.
 
-mod caller_shares;
+mod client_shares;
 mod decision;
 mod granting;
 mod late_binding;
@@ -16,7 +16,7 @@
 
 use weirhinge_fleet::{Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, Timing, ZoneId};
 
-pub use caller_shares::CallerShares;
+pub use client_shares::ClientShares;
 pub use decision::{
     Decision, DropReason, Forward, ForwardReason, QueueInputs, ResetReason, SelectionInputs,
 };
@@ -45,7 +45,7 @@
 /// Inputs of a decision besides the balancer's own state.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// Current routes and targets.
+    /// Routes and targets in effect.
     pub view: &'a FleetView,
     /// Whether the store's data is recent enough to refuse flows on its basis.
     pub fresh: bool,
@@ -70,7 +70,7 @@
 /// A packet sent by a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPacket<'a> {
-    /// Head of the packet.
+    /// Header of the packet.
     pub head: &'a PacketHead,
     /// The whole packet.
     pub bytes: &'a [u8],
@@ -189,7 +189,7 @@
         if is_opening_packet && self.is_earlier_delivery(&flow, from, granted) {
             return Decision::Drop(DropReason::OpeningElsewhere);
         }
-        if let Some(known) = self.record_return(context, &flow, from, is_opening_packet) {
+        if let Some(known) = self.note_return(context, &flow, from, is_opening_packet) {
             return known;
         }
         if is_opening_packet {
@@ -305,7 +305,7 @@
 
     /// Records in the flow's entry that an agent returned its packet. Returns a decision if the
     /// entry already determines where the packet goes.
-    fn record_return(
+    fn note_return(
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
--- a/crates/steering/src/balancer/opening.rs
+++ b/crates/steering/src/balancer/opening.rs
@@ -25,22 +25,22 @@
 
 /// Targets that may take a new flow, each tier in the flow's rendezvous order.
 pub(super) struct Eligible {
-    pub(super) responsive: Vec<Candidate>,
+    pub(super) healthy: Vec<Candidate>,
     /// Ready targets whose agent does not answer, is about to stop, or reported that its target is
     /// failing.
-    unresponsive: Vec<Candidate>,
+    unhealthy: Vec<Candidate>,
 }
 
 impl Eligible {
     fn is_empty(&self) -> bool {
-        self.responsive.is_empty() && self.unresponsive.is_empty()
+        self.healthy.is_empty() && self.unhealthy.is_empty()
     }
 
     /// Removes the targets that the flow has already tried.
     pub(super) fn without_tried(mut self, tried: &BTreeSet<Ipv4Addr>) -> Self {
         let is_untried = |candidate: &Candidate| !tried.contains(&candidate.agent);
-        self.responsive.retain(is_untried);
-        self.unresponsive.retain(is_untried);
+        self.healthy.retain(is_untried);
+        self.unhealthy.retain(is_untried);
         self
     }
 }
@@ -165,15 +165,14 @@
         let eligible = self.eligible(context, route, service, flow.hash());
         let any_eligible = !eligible.is_empty();
         let untried = eligible.without_tried(self.flows.tried(&flow));
-        let is_forced = reason == ForwardReason::OpeningWaits || untried.responsive.is_empty();
+        let is_forced = reason == ForwardReason::OpeningWaits || untried.healthy.is_empty();
         if !is_forced && self.must_queue(route, service) {
-            let targets = &untried.responsive;
+            let targets = &untried.healthy;
             let place = QueuePlace { route, service, queue_end: QueueEnd::Back, targets };
             return self.queue_opening(context, packet, &place);
         }
-        // An unresponsive target appears idle, so it is never compared by load.
-        let tier =
-            if untried.responsive.is_empty() { &untried.unresponsive } else { &untried.responsive };
+        // An unhealthy target appears idle, so it is never compared by load.
+        let tier = if untried.healthy.is_empty() { &untried.unhealthy } else { &untried.healthy };
         let compared =
             if reason == ForwardReason::OpeningWaits { tier.len() } else { TARGETS_COMPARED };
         let Some(chosen) = cheapest(tier, compared, &self.statuses, now) else {
@@ -189,7 +188,7 @@
         let is_new = self.flows.get_mut(&flow).is_none();
         self.assign_agent(flow, chosen.agent, FlowStage::Opening, now);
         if is_new {
-            self.record_first_packet(head, now);
+            self.note_first_packet(head, now);
         }
         let forward = Forward::to(chosen.agent, service, reason);
         let (urgent, inputs) = (route.is_urgent(), Some(inputs));
@@ -204,7 +203,7 @@
         any_eligible: bool,
         reason: ForwardReason,
     ) -> Decision {
-        // Unresponsive targets may still answer the next retransmission, but those that returned
+        // Unhealthy targets may still answer the next retransmission, but those that returned
         // the packet will not take it now.
         if any_eligible && reason == ForwardReason::OpeningReturned {
             return self.refuse(flow, ResetReason::Refused);
@@ -233,7 +232,7 @@
         })
     }
 
-    /// Returns the targets that may take a new flow: ready ones or, if none of them responds, also
+    /// Returns the targets that may take a new flow: ready ones or, if none of them is healthy, also
     /// those that lost their record but may still be alive.
     pub(super) fn eligible(
         &self,
@@ -251,20 +250,19 @@
         };
         let ready = candidates.iter().filter(is_ready);
         let ready = rendezvous_order(flow_hash, ready);
-        let is_unresponsive = |candidate: &Candidate| self.is_unresponsive(candidate, now);
-        let (unresponsive, mut responsive): (Vec<_>, Vec<_>) =
-            ready.into_iter().partition(is_unresponsive);
-        if responsive.is_empty() {
+        let is_unhealthy = |candidate: &Candidate| self.is_unhealthy(candidate, now);
+        let (unhealthy, mut healthy): (Vec<_>, Vec<_>) = ready.into_iter().partition(is_unhealthy);
+        if healthy.is_empty() {
             let mut unrecorded_targets = self.unrecorded_targets(context, candidates, service);
             unrecorded_targets.retain(|candidate| route.allows(candidate.region));
-            responsive = rendezvous_order(flow_hash, unrecorded_targets.iter());
-            responsive.retain(|candidate| !is_unresponsive(candidate));
+            healthy = rendezvous_order(flow_hash, unrecorded_targets.iter());
+            healthy.retain(|candidate| !is_unhealthy(candidate));
         }
-        Eligible { responsive, unresponsive }
+        Eligible { healthy, unhealthy }
     }
 
     /// Whether a target does not answer, is about to stop, or is failing.
-    pub(super) fn is_unresponsive(&self, candidate: &Candidate, now: Millis) -> bool {
+    pub(super) fn is_unhealthy(&self, candidate: &Candidate, now: Millis) -> bool {
         self.statuses.is_suspect(candidate, now) || self.statuses.is_failing(candidate, now)
     }
 
--- a/crates/steering/src/balancer/queue_delay.rs
+++ b/crates/steering/src/balancer/queue_delay.rs
@@ -1,8 +1,8 @@
 //! Estimates how long an opening would wait for capacity, and decides whether it may.
 //!
 //! This handles an overload that outlasts the queue: an opening that would miss its objective is
-//! refused on arrival, while its caller still has time to try elsewhere. The permitted wait depends
-//! on the caller's rank, so that the queue settles at the length at which as many openings are
+//! refused on arrival, while its client still has time to try elsewhere. The permitted wait depends
+//! on the client's rank, so that the queue settles at the length at which as many openings are
 //! queued as are admitted.
 
 use weirhinge_fleet::Millis;
@@ -169,7 +169,7 @@
 }
 
 /// Whether an opening may wait behind `ahead` others, with `budget_ms` left in which its answer
-/// would still be in time. Among callers within their share, the one ranked last may wait for a
+/// would still be in time. Among clients within their share, the one ranked last may wait for a
 /// quarter of its budget.
 pub fn may_wait(
     expected_wait: Option<Millis>,
@@ -186,7 +186,7 @@
     }
 }
 
-/// Returns `whole * (1 - 0.75 * rank)`, where the rank of a caller within its share is between 0
+/// Returns `whole * (1 - 0.75 * rank)`, where the rank of a client within its share is between 0
 /// and 1.
 fn scale_by_rank(whole: u64, rank: CallerRank) -> u64 {
     const RANK_RANGE: u64 = 1 << 16;
--- a/crates/steering/src/balancer/queueing.rs
+++ b/crates/steering/src/balancer/queueing.rs
@@ -38,7 +38,7 @@
     pub(super) route: &'a RouteChoice,
     pub(super) service: ServiceId,
     pub(super) queue_end: QueueEnd,
-    /// The responsive targets that may take it.
+    /// The healthy targets that may take it.
     pub(super) targets: &'a [Candidate],
 }
 
@@ -46,8 +46,8 @@
 struct Deadlines {
     /// Until when its answer would still meet the route's objective.
     objective_deadline: Millis,
-    /// Until when its caller waits for an answer.
-    caller_deadline: Millis,
+    /// Until when its client waits for an answer.
+    client_deadline: Millis,
 }
 
 impl Deadlines {
@@ -55,18 +55,18 @@
         let needed_ms = service_ms + TRANSIT_MS;
         let latest_for = |limit: Millis| first_at + limit.saturating_sub(needed_ms);
         let attempt_deadline = first_at + ATTEMPT_TIMEOUT_MS - TRANSIT_MS;
-        let caller_deadline =
+        let client_deadline =
             route.timeout_ms().map_or(attempt_deadline, latest_for).min(attempt_deadline);
         let objective_deadline =
-            route.objective_ms().map_or(caller_deadline, latest_for).min(caller_deadline);
-        Self { objective_deadline, caller_deadline }
+            route.objective_ms().map_or(client_deadline, latest_for).min(client_deadline);
+        Self { objective_deadline, client_deadline }
     }
 
     /// Returns when the wait must end. An opening that is already too late for its objective may
     /// still wait if it delays no other opening.
     fn wait_deadline(&self, queue_is_empty: bool, now: Millis) -> Millis {
         let is_late = self.objective_deadline <= now;
-        if is_late && queue_is_empty { self.caller_deadline } else { self.objective_deadline }
+        if is_late && queue_is_empty { self.client_deadline } else { self.objective_deadline }
     }
 }
 
@@ -85,7 +85,7 @@
         place: &QueuePlace<'_>,
     ) -> Decision {
         let (now, flow) = (context.now, packet.head.client_flow());
-        let (first_at, queued_at) = self.record_queued(packet.head, now);
+        let (first_at, queued_at) = self.note_queued(packet.head, now);
         let service = place.service;
         let class = QueueClass { service, urgent: place.route.is_urgent() };
         let waiting = self.late_binding.waiting(class);
@@ -120,12 +120,12 @@
 
     /// Records in a flow's entry that its opening is queued. Returns when the flow began and when
     /// its opening was queued first.
-    fn record_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
+    fn note_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
         let flow = head.client_flow();
         if self.flows.get_mut(&flow).is_none() {
             let no_agent = Ipv4Addr::UNSPECIFIED;
             self.assign_agent(flow, no_agent, FlowStage::Queued, now);
-            self.record_first_packet(head, now);
+            self.note_first_packet(head, now);
         }
         let Some(entry) = self.flows.get_mut(&flow) else { return (now, now) };
         entry.stage = FlowStage::Queued;
@@ -137,7 +137,7 @@
 
     /// Records in a new flow's entry when its first packet was sent. Another balancer may have
     /// received that packet and sent it to a target.
-    pub(super) fn record_first_packet(&mut self, head: &PacketHead, now: Millis) {
+    pub(super) fn note_first_packet(&mut self, head: &PacketHead, now: Millis) {
         let Some(entry) = self.flows.get_mut(&head.client_flow()) else { return };
         let retransmissions = usize::try_from(head.acknowledgment).unwrap_or(usize::MAX);
         let age_ms = TRANSMISSIONS_AFTER_MS[retransmissions.min(TRANSMISSIONS_AFTER_MS.len() - 1)];
@@ -192,12 +192,12 @@
             return None;
         }
         let eligible = self.eligible(context, route, service, flow.hash());
-        let Eligible { responsive, .. } = eligible.without_tried(self.flows.tried(&flow));
-        if responsive.is_empty() {
+        let Eligible { healthy, .. } = eligible.without_tried(self.flows.tried(&flow));
+        if healthy.is_empty() {
             return None;
         }
         let queue_end = if was_granted { QueueEnd::Front } else { QueueEnd::Back };
-        let place = QueuePlace { route, service, queue_end, targets: &responsive };
+        let place = QueuePlace { route, service, queue_end, targets: &healthy };
         Some(self.queue_opening(context, packet, &place))
     }
 
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -15,9 +15,9 @@
 /// Interval at which to check whether these packets can be decided about.
 const CHECK_INTERVAL_MS: Millis = 8;
 
-/// The knowledge on which the outcome of another decision depends.
+/// The known state on which the outcome of another decision depends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Knowledge {
+struct KnownState {
     label: Option<VersionLabel>,
     targets: usize,
     claims: u64,
@@ -25,12 +25,12 @@
     evacuated: usize,
 }
 
-/// Undecided packets, which are decided about again when the balancer's knowledge changes.
+/// Undecided packets, which are decided about again when the known state changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UndecidedPackets {
     packets: PendingPackets,
     checked_at: Millis,
-    known: Knowledge,
+    known: KnownState,
 }
 
 impl UndecidedPackets {
@@ -44,12 +44,12 @@
     }
 
     /// When to check next, or `None` if there are no packets.
-    fn next_check(&self) -> Option<Millis> {
+    fn next_check_at(&self) -> Option<Millis> {
         (!self.packets.is_empty()).then_some(self.checked_at + CHECK_INTERVAL_MS)
     }
 
-    /// Returns all packets if the knowledge has changed.
-    fn take_if_changed(&mut self, known: Knowledge, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    /// Returns all packets if the known state has changed.
+    fn take_if_changed(&mut self, known: KnownState, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
         self.checked_at = now;
         if known == self.known {
             self.packets.expire(now);
@@ -80,7 +80,7 @@
     /// Returns the packets to decide about again with [`Self::decide_again`], newest first. Returns
     /// none unless the balancer has learned something that may change the outcome.
     pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHead, Vec<u8>)> {
-        let known = Knowledge {
+        let known = KnownState {
             label: context.view.label(),
             targets: context.view.target_count(),
             claims: self.statuses.claims_seen(),
@@ -104,7 +104,7 @@
     /// When the next packet kept here is due: one that is undecided, whose search is in progress,
     /// or that waits for capacity.
     pub fn next_due(&self) -> Option<Millis> {
-        let undecided = self.undecided.next_check();
+        let undecided = self.undecided.next_check_at();
         let queued = self.late_binding.next_due();
         self.searches.next_due().into_iter().chain(undecided).chain(queued).min()
     }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -32,7 +32,7 @@
 pub use agent_status::AgentStatuses;
 pub use arrival::Arrival;
 pub use balancer::{
-    AdmissionRate, Balancer, BalancerLimits, CallerShares, ClientPacket, Context, Decision,
+    AdmissionRate, Balancer, BalancerLimits, ClientPacket, ClientShares, Context, Decision,
     DropReason, Forward, ForwardReason, GrantAnswer, QueueInputs, ResetReason, RoomGrant,
     RoomRequest, SelectionInputs, SettledOpening, may_wait,
 };
--- a/crates/steering/tests/admission_by_delay.rs
+++ b/crates/steering/tests/admission_by_delay.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 use support::queue::{
-    BUDGET, caller, flow_from, is_overloaded, is_queued, retransmission, route, store,
+    BUDGET, client_address, flow_from, is_overloaded, is_queued, retransmission, route, store,
     top_ranked_flows,
 };
 use support::{Fixture, LATER, SERVICE, Store, agent, endpoint, forwarded, opening};
@@ -36,7 +36,7 @@
     let mut fixture = Fixture::new(&store(2));
     let flows = top_ranked_flows(200);
     // One opening is admitted every 10 ms, which makes 92 within the budget. The rate is measured
-    // over 250 ms and may be off by one in 25. The callers may use 0.95 of their budgets.
+    // over 250 ms and may be off by one in 25. The clients may use 0.95 of their budgets.
     let mut now = LATER;
     let mut arrivals = flows.iter();
     for _ in 0..6 {
@@ -62,11 +62,11 @@
         assert!(inputs.ahead >= 84);
         assert!(inputs.expected_wait_ms.is_some_and(|wait| wait >= BUDGET * 95 / 100));
     }
-    // A refused caller is refused again when it opens another flow.
+    // A refused client is refused again when it opens another flow.
     let refused =
         decisions.iter().position(is_overloaded).expect("at least one opening is refused");
-    let caller = attempted[refused].client;
-    let client = SocketAddrV4::new(*caller.ip(), caller.port() + 1);
+    let refused_client = attempted[refused].client;
+    let client = SocketAddrV4::new(*refused_client.ip(), refused_client.port() + 1);
     let again = fixture.client(&opening(FlowKey { client, ..attempted[refused] }), now);
     assert!(is_overloaded(&again));
 }
@@ -144,11 +144,11 @@
     assert_eq!(second, Decision::Drop(DropReason::OpeningRefused));
 }
 
-/// A target that has capacity for one opening every five milliseconds, and its callers.
+/// A target that has capacity for one opening every five milliseconds, and its clients.
 struct Simulation {
     fixture: Fixture,
     now: Millis,
-    callers: u32,
+    clients: u32,
     /// Openings due to arrive, in thousandths.
     due_permille: u64,
     free_capacity: u32,
@@ -170,7 +170,7 @@
         Self {
             fixture: Fixture::new(&store(2)),
             now: LATER,
-            callers: 0,
+            clients: 0,
             due_permille: 0,
             free_capacity: 0,
             outcomes: Outcomes::default(),
@@ -189,8 +189,8 @@
             self.due_permille += arrivals_permille / CAPACITY_INTERVAL;
             while self.due_permille >= 1_000 {
                 self.due_permille -= 1_000;
-                self.callers += 1;
-                self.arrive(flow_from(caller(self.callers)));
+                self.clients += 1;
+                self.arrive(flow_from(client_address(self.clients)));
             }
         }
         std::mem::take(&mut self.outcomes)
--- a/crates/steering/tests/caller_shares.rs
+++ b/crates/steering/tests/client_shares.rs
@@ -1,15 +1,15 @@
-//! Fairness between callers: one caller with many openings competes with many callers that have one
+//! Fairness between clients: one client with many openings competes with many clients that have one
 //! each, at a service without capacity for all of them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
-use weirhinge_steering::{AdmissionRate, CallerRank, CallerShares, caller_rank, may_wait};
+use weirhinge_steering::{AdmissionRate, CallerRank, ClientShares, caller_rank, may_wait};
 
 const BUDGET_MS: Millis = 200;
 const HEAVY: Ipv4Addr = Ipv4Addr::new(10, 9, 9, 9);
-const LIGHT_CALLERS: u64 = 40;
+const LIGHT_CLIENTS: u64 = 40;
 const HEAVY_OPENINGS: u64 = 50;
 /// Duration of a run: a hundred epochs of the ranks, because shares are equal only over many
 /// epochs.
@@ -21,7 +21,7 @@
     Ipv4Addr::from_bits(0x0a01_0000 + number as u32)
 }
 
-/// Numbers of a caller's admitted and refused openings.
+/// Numbers of a client's admitted and refused openings.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcomes {
     served: u64,
@@ -31,48 +31,48 @@
 #[derive(Default)]
 struct Queue {
     rate: AdmissionRate,
-    shares: CallerShares,
+    shares: ClientShares,
     waiting: VecDeque<Ipv4Addr>,
     outcomes: BTreeMap<Ipv4Addr, Outcomes>,
 }
 
 impl Queue {
-    fn arrive(&mut self, caller: Ipv4Addr, now: Millis) {
+    fn arrive(&mut self, client: Ipv4Addr, now: Millis) {
         let ahead = self.waiting.len();
-        let rank = self.shares.rank(caller, caller_rank(caller, now), now);
+        let rank = self.shares.rank(client, caller_rank(client, now), now);
         if may_wait(self.rate.expected_wait(ahead, now), ahead, BUDGET_MS, rank) {
             self.rate.waiting_began(now);
-            self.shares.waits(caller);
-            self.waiting.push_back(caller);
+            self.shares.waits(client);
+            self.waiting.push_back(client);
         } else if now >= WARM_UP_SECONDS * 1_000 {
-            self.outcomes.entry(caller).or_default().refused += 1;
+            self.outcomes.entry(client).or_default().refused += 1;
         }
     }
 
     fn admit_first(&mut self, now: Millis) {
-        let Some(caller) = self.waiting.pop_front() else { return };
+        let Some(client) = self.waiting.pop_front() else { return };
         self.rate.admitted(now);
-        self.shares.admitted(caller, now);
+        self.shares.admitted(client, now);
         if self.waiting.is_empty() {
             self.rate.waiting_ended(now);
         }
         if now >= WARM_UP_SECONDS * 1_000 {
-            self.outcomes.entry(caller).or_default().served += 1;
+            self.outcomes.entry(client).or_default().served += 1;
         }
     }
 
-    fn outcomes_of(&self, caller: Ipv4Addr) -> Outcomes {
-        self.outcomes.get(&caller).copied().unwrap_or_default()
+    fn outcomes_of(&self, client: Ipv4Addr) -> Outcomes {
+        self.outcomes.get(&client).copied().unwrap_or_default()
     }
 
     fn light_outcomes(&self) -> impl Iterator<Item = Outcomes> {
-        (0..LIGHT_CALLERS).map(|number| self.outcomes_of(light(number)))
+        (0..LIGHT_CLIENTS).map(|number| self.outcomes_of(light(number)))
     }
 }
 
-/// Forty callers open one flow per second each, in an order that changes every second; with a fixed
-/// order, the few places of a short queue would always be free for the same callers. One more
-/// caller opens fifty flows per second.
+/// Forty clients open one flow per second each, in an order that changes every second; with a fixed
+/// order, the few places of a short queue would always be free for the same clients. One more
+/// client opens fifty flows per second.
 fn run(capacity: u64) -> Queue {
     let mut queue = Queue::default();
     let mut admissions_due = 0;
@@ -81,9 +81,9 @@
         if in_second % (1_000 / HEAVY_OPENINGS) == 0 {
             queue.arrive(HEAVY, now);
         }
-        if in_second % (1_000 / LIGHT_CALLERS) == 7 {
-            let place = in_second / (1_000 / LIGHT_CALLERS) + now / 1_000 * 7;
-            queue.arrive(light(place % LIGHT_CALLERS), now);
+        if in_second % (1_000 / LIGHT_CLIENTS) == 7 {
+            let place = in_second / (1_000 / LIGHT_CLIENTS) + now / 1_000 * 7;
+            queue.arrive(light(place % LIGHT_CLIENTS), now);
         }
         admissions_due = (admissions_due + capacity).min(1_999);
         if admissions_due >= 1_000 && !queue.waiting.is_empty() {
@@ -95,19 +95,19 @@
 }
 
 #[test]
-fn callers_with_one_opening_are_served_while_there_is_capacity() {
+fn clients_with_one_opening_are_served_while_there_is_capacity() {
     for capacity in [60, 75] {
         let queue = run(capacity);
         let light_refused: u64 =
-            queue.light_outcomes().map(|caller_outcomes| caller_outcomes.refused).sum();
-        let light_openings = LIGHT_CALLERS * (SECONDS - WARM_UP_SECONDS);
+            queue.light_outcomes().map(|client_outcomes| client_outcomes.refused).sum();
+        let light_openings = LIGHT_CLIENTS * (SECONDS - WARM_UP_SECONDS);
         assert!(
             light_refused * 50 <= light_openings,
             "{light_refused} of {light_openings} refused"
         );
-        // A caller with more openings gets the capacity that the others leave.
+        // A client with more openings gets the capacity that the others leave.
         let heavy = queue.outcomes_of(HEAVY).served;
-        let left = (capacity - LIGHT_CALLERS) * (SECONDS - WARM_UP_SECONDS);
+        let left = (capacity - LIGHT_CLIENTS) * (SECONDS - WARM_UP_SECONDS);
         assert!(
             heavy >= left * 9 / 10,
             "{heavy} served of {left} left, capacity {capacity} per second"
@@ -116,43 +116,43 @@
 }
 
 #[test]
-fn callers_get_similar_shares_when_capacity_is_short() {
+fn clients_get_similar_shares_when_capacity_is_short() {
     let queue = run(30);
     let seconds = SECONDS - WARM_UP_SECONDS;
     let heavy = queue.outcomes_of(HEAVY).served;
     assert!(heavy <= 3 * seconds, "{heavy} served in {seconds} s");
     assert!(heavy > 0);
-    for caller_outcomes in queue.light_outcomes() {
-        assert!(caller_outcomes.served * 2 >= seconds, "{caller_outcomes:?}");
+    for client_outcomes in queue.light_outcomes() {
+        assert!(client_outcomes.served * 2 >= seconds, "{client_outcomes:?}");
     }
 }
 
 #[test]
-fn burst_of_one_caller_does_not_displace_later_callers() {
+fn burst_of_one_client_does_not_displace_later_clients() {
     let mut queue = Queue::default();
     let begin = WARM_UP_SECONDS * 1_000;
-    // Some other callers were served just before.
-    for number in 0..LIGHT_CALLERS {
+    // Some other clients were served just before.
+    for number in 0..LIGHT_CLIENTS {
         queue.shares.waits(light(number));
         queue.shares.admitted(light(number), begin);
     }
     for _ in 0..HEAVY_OPENINGS {
         queue.arrive(HEAVY, begin);
     }
-    for number in 0..LIGHT_CALLERS {
+    for number in 0..LIGHT_CLIENTS {
         let now = begin + number * 20;
         queue.admit_first(now);
         queue.arrive(light(100 + number), now);
     }
     let refused =
-        (0..LIGHT_CALLERS).filter(|number| queue.outcomes_of(light(100 + number)).refused > 0);
+        (0..LIGHT_CLIENTS).filter(|number| queue.outcomes_of(light(100 + number)).refused > 0);
     assert_eq!(refused.count(), 0);
     assert!(queue.outcomes_of(HEAVY).refused >= HEAVY_OPENINGS - 2);
 }
 
 #[test]
-fn single_caller_keeps_its_rank() {
-    let mut shares = CallerShares::default();
+fn single_client_keeps_its_rank() {
+    let mut shares = ClientShares::default();
     for _ in 0..HEAVY_OPENINGS {
         shares.waits(HEAVY);
     }
@@ -160,22 +160,22 @@
 }
 
 #[test]
-fn callers_with_equal_openings_keep_their_ranks() {
-    let mut shares = CallerShares::default();
-    for caller in [light(1), light(2), light(3)] {
+fn clients_with_equal_openings_keep_their_ranks() {
+    let mut shares = ClientShares::default();
+    for client in [light(1), light(2), light(3)] {
         for _ in 0..20 {
-            shares.waits(caller);
+            shares.waits(client);
         }
     }
-    for caller in [light(1), light(2), light(3), light(9)] {
+    for client in [light(1), light(2), light(3), light(9)] {
         let own = CallerRank::from(12_345);
-        assert_eq!(shares.rank(caller, own, 0), own, "{caller}");
+        assert_eq!(shares.rank(client, own, 0), own, "{client}");
     }
 }
 
 #[test]
 fn admitted_openings_count_for_a_second() {
-    let mut shares = CallerShares::default();
+    let mut shares = ClientShares::default();
     shares.waits(light(1));
     for _ in 0..5 {
         shares.waits(HEAVY);
@@ -188,7 +188,7 @@
 
 #[test]
 fn openings_that_gave_up_do_not_count() {
-    let mut shares = CallerShares::default();
+    let mut shares = ClientShares::default();
     shares.waits(light(1));
     shares.waits(HEAVY);
     shares.waits(HEAVY);
@@ -214,12 +214,12 @@
 
 #[test]
 fn recent_openings_are_bounded() {
-    let mut shares = CallerShares::default();
+    let mut shares = ClientShares::default();
     for number in 0..10_000 {
         shares.waits(light(number));
         shares.admitted(light(number), 5);
     }
-    // The first of these callers have been dropped from the table.
+    // The first of these clients have been dropped from the table.
     shares.waits(light(0));
     shares.waits(light(0));
     let rank = shares.rank(light(0), CallerRank::SERVED_FIRST, 5);
--- a/crates/steering/tests/opening_queue.rs
+++ b/crates/steering/tests/opening_queue.rs
@@ -341,14 +341,14 @@
 #[test]
 fn queue_is_bounded() {
     let mut fixture = Fixture::new(&store(2));
-    let caller = top_ranked_flows(1)[0];
+    let first_flow = top_ranked_flows(1)[0];
     let mut port = 0;
     let mut longest = 0;
     for now in LATER..LATER + 400 {
         for _ in 0..40 {
             port += 1;
-            let client = SocketAddrV4::new(*caller.client.ip(), port);
-            fixture.open_without_capacity(FlowKey { client, ..caller }, now);
+            let client = SocketAddrV4::new(*first_flow.client.ip(), port);
+            fixture.open_without_capacity(FlowKey { client, ..first_flow }, now);
         }
         for _ in 0..20 {
             let Some(flow) = granted_flow(&fixture.grant(1, now)) else { break };
--- a/crates/steering/tests/queue_delay.rs
+++ b/crates/steering/tests/queue_delay.rs
@@ -6,18 +6,18 @@
 use weirhinge_fleet::Millis;
 use weirhinge_steering::{AdmissionRate, CallerRank, caller_rank, may_wait};
 
-/// Part of a caller's objective that is left for waiting.
+/// Part of a client's objective that is left for waiting.
 const BUDGET_MS: Millis = 200;
 /// Openings admitted per second.
 const CAPACITY: u64 = 400;
-const CALLERS: u32 = 1_000;
+const CLIENTS: u32 = 1_000;
 const FIRST: CallerRank = CallerRank::SERVED_FIRST;
 const LAST: CallerRank = CallerRank::REFUSED_FIRST;
 
 /// Outcome of one opening.
 #[derive(Clone, Copy, Debug)]
 struct Outcome {
-    caller: u32,
+    client: u32,
     arrived_at: Millis,
     /// When the opening was refused or admitted.
     ended_at: Millis,
@@ -56,30 +56,30 @@
     }
 
     fn arrive(&mut self) {
-        // The stride is coprime to the number of callers, so all callers take turns.
-        let caller = (self.arrivals * 377 % u64::from(CALLERS)) as u32;
+        // The stride is coprime to the number of clients, so all clients take turns.
+        let client = (self.arrivals * 377 % u64::from(CLIENTS)) as u32;
         self.arrivals += 1;
         let ahead = self.waiting.len();
         let wait = self.rate.expected_wait(ahead, self.now);
-        if may_wait(wait, ahead, BUDGET_MS, rank(caller)) {
+        if may_wait(wait, ahead, BUDGET_MS, rank(client)) {
             self.rate.waiting_began(self.now);
-            self.waiting.push_back((caller, self.now));
+            self.waiting.push_back((client, self.now));
         } else {
-            self.end(caller, self.now, true);
+            self.end(client, self.now, true);
         }
     }
 
     fn admit_first(&mut self) {
-        let Some((caller, arrived_at)) = self.waiting.pop_front() else { return };
+        let Some((client, arrived_at)) = self.waiting.pop_front() else { return };
         self.rate.admitted(self.now);
-        self.end(caller, arrived_at, false);
+        self.end(client, arrived_at, false);
         if self.waiting.is_empty() {
             self.rate.waiting_ended(self.now);
         }
     }
 
-    fn end(&mut self, caller: u32, arrived_at: Millis, was_refused: bool) {
-        self.outcomes.push(Outcome { caller, arrived_at, ended_at: self.now, was_refused });
+    fn end(&mut self, client: u32, arrived_at: Millis, was_refused: bool) {
+        self.outcomes.push(Outcome { client, arrived_at, ended_at: self.now, was_refused });
     }
 
     /// Number of openings that arrived in this span and were refused.
@@ -99,9 +99,9 @@
     }
 }
 
-/// The caller's rank at a fixed time, so that all callers are in one epoch.
-fn rank(caller: u32) -> CallerRank {
-    caller_rank(Ipv4Addr::from_bits(0x0a01_0000 + caller), 0)
+/// The client's rank at a fixed time, so that all clients are in one epoch.
+fn rank(client: u32) -> CallerRank {
+    caller_rank(Ipv4Addr::from_bits(0x0a01_0000 + client), 0)
 }
 
 /// Admits openings at a steady interval. Returns the time of the last admission.
@@ -171,20 +171,20 @@
 }
 
 #[test]
-fn same_callers_are_refused_throughout_an_epoch() {
+fn same_clients_are_refused_throughout_an_epoch() {
     let mut queue = Queue::default();
     queue.run(4_000, CAPACITY * 2, CAPACITY);
-    let mut outcomes_by_caller: BTreeMap<u32, (u32, u32)> = BTreeMap::new();
+    let mut outcomes_by_client: BTreeMap<u32, (u32, u32)> = BTreeMap::new();
     for outcome in queue.outcomes.iter().filter(|outcome| outcome.arrived_at >= 500) {
-        let (served, refused) = outcomes_by_caller.entry(outcome.caller).or_default();
+        let (served, refused) = outcomes_by_client.entry(outcome.client).or_default();
         *(if outcome.was_refused { refused } else { served }) += 1;
     }
     let mixed =
-        outcomes_by_caller.values().filter(|(served, refused)| *served > 0 && *refused > 0).count();
+        outcomes_by_client.values().filter(|(served, refused)| *served > 0 && *refused > 0).count();
     assert!(
-        mixed <= outcomes_by_caller.len() / 10,
-        "{mixed} of {} callers were both served and refused",
-        outcomes_by_caller.len()
+        mixed <= outcomes_by_client.len() / 10,
+        "{mixed} of {} clients were both served and refused",
+        outcomes_by_client.len()
     );
 }
 
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn lowest_ranked_caller_may_wait_a_quarter_of_its_budget() {
+fn lowest_ranked_client_may_wait_a_quarter_of_its_budget() {
     assert!(may_wait(Some(BUDGET_MS), 9, BUDGET_MS, FIRST));
     assert!(!may_wait(Some(BUDGET_MS + 1), 9, BUDGET_MS, FIRST));
     assert!(may_wait(Some(BUDGET_MS / 4), 9, BUDGET_MS, LAST));
--- a/crates/steering/tests/support/queue.rs
+++ b/crates/steering/tests/support/queue.rs
@@ -1,4 +1,4 @@
-//! Helpers for tests of openings that wait at a balancer: callers, routes and grants.
+//! Helpers for tests of openings that wait at a balancer: clients, routes and grants.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,7 +10,7 @@
 
 use super::{Fixture, SERVICE, Store, agent, endpoint, forwarded, opening, route_to};
 
-/// Time in milliseconds within which callers expect an answer.
+/// Time in milliseconds within which clients expect an answer.
 pub const OBJECTIVE: u64 = 1_000;
 /// Part of the objective that an opening may spend waiting: a request takes 50 ms at a target whose
 /// agent reported no times, and 30 ms in transit.
@@ -33,19 +33,20 @@
     store
 }
 
-pub fn caller(number: u32) -> Ipv4Addr {
+pub fn client_address(number: u32) -> Ipv4Addr {
     Ipv4Addr::from_bits(Ipv4Addr::new(100, 64, 0, 0).to_bits() + number)
 }
 
-pub fn flow_from(caller: Ipv4Addr) -> FlowKey {
-    FlowKey { client: SocketAddrV4::new(caller, 40_000), service: endpoint() }
+pub fn flow_from(client_address: Ipv4Addr) -> FlowKey {
+    FlowKey { client: SocketAddrV4::new(client_address, 40_000), service: endpoint() }
 }
 
-/// Flows of callers that are served before nearly all others.
+/// Flows of clients that are served before nearly all others.
 pub fn top_ranked_flows(count: usize) -> Vec<FlowKey> {
-    let callers = (1..).map(caller);
-    let callers = callers.filter(|caller| caller_rank(*caller, 0).value() < 4_096);
-    callers.take(count).map(flow_from).collect()
+    let addresses = (1..).map(client_address);
+    let addresses =
+        addresses.filter(|client_address| caller_rank(*client_address, 0).value() < 4_096);
+    addresses.take(count).map(flow_from).collect()
 }
 
 pub fn urgent(flow: FlowKey) -> FlowKey {
--- a/crates/steering/tests/undecided.rs
+++ b/crates/steering/tests/undecided.rs
@@ -16,7 +16,7 @@
     }
     fixture.client(&data(flow(4)), LATER + 4);
     assert!(fixture.balancer.next_due().is_some_and(|due_at| due_at <= LATER + 20));
-    assert!(fixture.due_undecided(LATER + 10).is_empty(), "the knowledge has not changed yet");
+    assert!(fixture.due_undecided(LATER + 10).is_empty(), "the known state has not changed yet");
     fixture.view = Store::with_targets(2).view();
     let due = fixture.due_undecided(LATER + 30);
     let heads: Vec<PacketHead> = due.iter().map(|(head, _)| *head).collect();
