--- a/crates/relay/src/balancer/intake.rs
+++ b/crates/relay/src/balancer/intake.rs
@@ -38,12 +38,12 @@
         while left > 0 {
             let Some(packet) = self.backlog.borrow_mut().next(now) else { break };
             left -= 1;
-            self.client_packet(&packet);
+            self.handle_client_packet(&packet);
         }
         receive_ready(&self.packets, buffer, DATAGRAMS_A_TURN, |packet, _| {
             if left > 0 {
                 left -= 1;
-                self.client_packet(packet);
+                self.handle_client_packet(packet);
             } else {
                 self.backlog.borrow_mut().push(packet, now);
             }
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -17,8 +17,8 @@
 use weirhinge_fleet::{Millis, PeerMessage, PeerRole, SearchPath, ServiceId, decode};
 use weirhinge_observe::Metrics;
 use weirhinge_steering::{
-    Balancer, BalancerLimits, ClientPacket, Context, Decision, DropReason, FlowKey, Forward,
-    ForwardReason, PacketHead, ResetReason, RoomGrant,
+    Balancer, BalancerLimits, CapacityGrant, ClientPacket, Context, Decision, DropReason, FlowKey,
+    Forward, ForwardReason, PacketHead, ResetReason,
 };
 
 use crate::backlog::Backlog;
@@ -148,7 +148,7 @@
     }
 
     /// Takes a packet that a router handed to this balancer.
-    fn client_packet(&self, packet: &[u8]) {
+    fn handle_client_packet(&self, packet: &[u8]) {
         let now = self.clock.now();
         *self.last_packet_at.borrow_mut() = now;
         self.decide_packet(packet, &self.helpers.borrow(), now);
@@ -168,7 +168,7 @@
         };
         let decision = self.decide(now, |core, context| {
             let context = Context { helpers, ..*context };
-            core.client_packet(&context, ClientPacket { head: &head, bytes: packet })
+            core.handle_client_packet(&context, ClientPacket { head: &head, bytes: packet })
         });
         self.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
         if let (Decision::Forward(forward), Some(id)) =
@@ -201,13 +201,13 @@
                 let decision = self.decide(now, |core, context| {
                     core.heard(sender, load, now);
                     let packet = ClientPacket { head: &head, bytes: packet };
-                    core.returned_packet(context, packet, sender, reason, granted)
+                    core.handle_returned_packet(context, packet, sender, reason, granted)
                 });
                 self.carry_out(decision, &head, packet, now);
             }
             PeerMessage::Holds { client, service, confirmed, load } => {
                 let flow = FlowKey { client: endpoint(client), service: endpoint(service) };
-                let waited = self.core.borrow_mut().holds(flow, sender, confirmed, load, now);
+                let waited = self.core.borrow_mut().note_holder(flow, sender, confirmed, load, now);
                 if let Some(waited) = waited {
                     self.metrics.opening_seconds.observe(waited as f64 / 1_000.0);
                 }
@@ -220,7 +220,7 @@
             PeerMessage::ProbeAnswer => self.core.borrow_mut().reached(now),
             PeerMessage::Grant { service, urgent_only, load } => {
                 let service = ServiceId(service);
-                let grant = RoomGrant { agent: sender, service, urgent_only, load };
+                let grant = CapacityGrant { agent: sender, service, urgent_only, load };
                 self.take_grant(&grant, now);
             }
             PeerMessage::Forward { .. }
@@ -247,7 +247,7 @@
             Decision::Forward(forward) => {
                 self.log_forwarded(&flow, &forward, now);
                 self.forward(&forward, forward.agent, &forward.next, packet);
-                for row in &forward.further_rows {
+                for row in &forward.further_paths {
                     if let Some((first, next)) = row.split_first() {
                         self.forward(&forward, *first, next, packet);
                     }
@@ -333,7 +333,7 @@
     fn note_regained(&self) {
         let regained = self.node.borrow_mut().take_regained();
         if let Some(regained_at) = regained {
-            self.core.borrow_mut().store_regained(regained_at);
+            self.core.borrow_mut().note_store_regained(regained_at);
             self.link.ask_agents();
         }
     }
--- a/crates/relay/src/balancer/queueing.rs
+++ b/crates/relay/src/balancer/queueing.rs
@@ -3,26 +3,26 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{Millis, OpeningDemand, PeerMessage, ServiceId};
-use weirhinge_steering::{GrantAnswer, RoomGrant, SettledOpening};
+use weirhinge_steering::{CapacityGrant, GrantOutcome, ResolvedOpening};
 
 use super::Daemon;
 use crate::platform::Platform;
 
 impl<P: Platform> Daemon<P> {
     /// Answers an agent's grant with the opening that goes first, or declines it.
-    pub(super) fn take_grant(&self, grant: &RoomGrant, now: Millis) {
-        let GrantAnswer { granted, settled } =
-            self.decide(now, |core, context| core.grant(context, grant));
+    pub(super) fn take_grant(&self, grant: &CapacityGrant, now: Millis) {
+        let GrantOutcome { granted, resolved } =
+            self.decide(now, |core, context| core.use_grant(context, grant));
         self.metrics.grants.increment(if granted.is_some() { "used" } else { "declined" });
         match granted {
             Some(opening) => {
                 self.metrics.queue_seconds.observe(opening.waited_ms as f64 / 1_000.0);
-                self.settle(opening, now);
+                self.resolve(opening, now);
             }
             None => self.link.send(grant.agent, &PeerMessage::Declined),
         }
-        for opening in settled {
-            self.settle(opening, now);
+        for opening in resolved {
+            self.resolve(opening, now);
         }
         self.show_queue_length();
     }
@@ -30,11 +30,11 @@
     /// Tells the clients of openings that cannot be served in time, and asks further agents
     /// for room for those that still wait.
     pub(super) fn continue_queue(&self, now: Millis) {
-        let refused = self.core.borrow_mut().due_refusals(now);
+        let refused = self.core.borrow_mut().refuse_overdue(now);
         for opening in refused {
-            self.settle(opening, now);
+            self.resolve(opening, now);
         }
-        let requests = self.decide(now, |core, context| core.due_room_requests(context));
+        let requests = self.decide(now, |core, context| core.due_capacity_requests(context));
         for request in requests {
             self.ask_for_room(&request.agents, request.service, request.demand);
         }
@@ -53,8 +53,8 @@
         }
     }
 
-    fn settle(&self, opening: SettledOpening, now: Millis) {
-        let SettledOpening { head, bytes, decision, .. } = opening;
+    fn resolve(&self, opening: ResolvedOpening, now: Millis) {
+        let ResolvedOpening { head, bytes, decision, .. } = opening;
         self.carry_out(decision, &head, &bytes, now);
     }
 
--- a/crates/relay/src/balancer/resting.rs
+++ b/crates/relay/src/balancer/resting.rs
@@ -32,7 +32,7 @@
         let due = self.core.borrow_mut().due_searches(now);
         for (head, packet) in due {
             let decision = self.decide(now, |core, context| {
-                core.search_again(context, ClientPacket { head: &head, bytes: &packet })
+                core.continue_search(context, ClientPacket { head: &head, bytes: &packet })
             });
             self.carry_out(decision, &head, &packet, now);
         }
@@ -42,7 +42,7 @@
         let due = self.decide_with_helpers(now, |core, context| core.due_undecided(context));
         for (head, packet) in due {
             let decision = self.decide_with_helpers(now, |core, context| {
-                core.decide_again(context, ClientPacket { head: &head, bytes: &packet })
+                core.retry_undecided(context, ClientPacket { head: &head, bytes: &packet })
             });
             if let Some(decision) = decision {
                 self.carry_out(decision, &head, &packet, now);
--- a/crates/steering/src/balancer/client_shares.rs
+++ b/crates/steering/src/balancer/client_shares.rs
@@ -31,19 +31,19 @@
 
 impl ClientShares {
     /// Counts an opening that starts to wait.
-    pub fn waits(&mut self, client: Ipv4Addr) {
+    pub fn note_queued(&mut self, client: Ipv4Addr) {
         *self.openings.entry(client).or_default() += 1;
         self.total += 1;
     }
 
     /// Records that a waiting opening was admitted.
-    pub fn admitted(&mut self, client: Ipv4Addr, now: Millis) {
+    pub fn note_admitted(&mut self, client: Ipv4Addr, now: Millis) {
         self.recent.push_back((now, client));
         self.expire(now);
     }
 
     /// Records that a waiting opening left the queue without being admitted.
-    pub fn gave_up(&mut self, client: Ipv4Addr) {
+    pub fn note_given_up(&mut self, client: Ipv4Addr) {
         let Some(count) = self.openings.get_mut(&client) else { return };
         *count -= 1;
         if *count == 0 {
@@ -73,7 +73,7 @@
                 return;
             }
             self.recent.pop_front();
-            self.gave_up(client);
+            self.note_given_up(client);
         }
     }
 }
--- a/crates/steering/src/balancer/decision.rs
+++ b/crates/steering/src/balancer/decision.rs
@@ -163,7 +163,7 @@
     pub next: Vec<Ipv4Addr>,
     /// Further paths that copies of a search packet take in parallel. Each path lists the agents
     /// visited in turn.
-    pub further_rows: Vec<Vec<Ipv4Addr>>,
+    pub further_paths: Vec<Vec<Ipv4Addr>>,
     /// Inputs of the selection, if the target was selected by load.
     pub inputs: Option<SelectionInputs>,
     /// The openings that remain queued here, if the packet uses the agent's grant of capacity.
@@ -179,7 +179,7 @@
             urgent: false,
             reason,
             next: Vec::new(),
-            further_rows: Vec::new(),
+            further_paths: Vec::new(),
             inputs: None,
             granted: None,
         }
@@ -237,14 +237,14 @@
     /// Sends a search packet along each of these paths, in parallel: to the first agent of a path,
     /// which passes it on to the others in turn. Drops the packet if there are no paths.
     pub(super) fn search(paths: &[Vec<Ipv4Addr>], service: ServiceId) -> Self {
-        let Some((first_path, further_rows)) = paths.split_first() else {
+        let Some((first_path, further_paths)) = paths.split_first() else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
         let Some((agent, next)) = first_path.split_first() else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
-        let (next, further_rows) = (next.to_vec(), further_rows.to_vec());
+        let (next, further_paths) = (next.to_vec(), further_paths.to_vec());
         let forward = Forward::to(*agent, service, ForwardReason::Search);
-        Decision::Forward(Forward { next, further_rows, ..forward })
+        Decision::Forward(Forward { next, further_paths, ..forward })
     }
 }
--- a/crates/steering/src/balancer/granting.rs
+++ b/crates/steering/src/balancer/granting.rs
@@ -13,7 +13,7 @@
 
 /// An agent's grant of capacity for one opening packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RoomGrant {
+pub struct CapacityGrant {
     /// Address of the agent.
     pub agent: Ipv4Addr,
     /// The service of the agent's target.
@@ -26,7 +26,7 @@
 
 /// A queued packet that has been decided about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettledOpening {
+pub struct ResolvedOpening {
     /// Header of the packet.
     pub head: PacketHead,
     /// The whole packet.
@@ -37,7 +37,7 @@
     pub waited_ms: Millis,
 }
 
-impl SettledOpening {
+impl ResolvedOpening {
     fn new(opening: QueuedOpening, decision: Decision, now: Millis) -> Self {
         let waited_ms = now.saturating_sub(opening.queued_at);
         Self { head: opening.head, bytes: opening.bytes, decision, waited_ms }
@@ -46,16 +46,16 @@
 
 /// What a balancer does with an agent's grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct GrantAnswer {
+pub struct GrantOutcome {
     /// The opening that uses the grant. The grant is declined if there is none.
-    pub granted: Option<SettledOpening>,
+    pub granted: Option<ResolvedOpening>,
     /// Openings that left the queue without using the grant.
-    pub settled: Vec<SettledOpening>,
+    pub resolved: Vec<ResolvedOpening>,
 }
 
 /// Agents to ask for capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RoomRequest {
+pub struct CapacityRequest {
     /// Addresses of the agents.
     pub agents: Vec<Ipv4Addr>,
     /// The service for which capacity is requested.
@@ -66,7 +66,7 @@
 
 impl Balancer {
     /// Uses an agent's grant for the first opening in the queue that may have it.
-    pub fn grant(&mut self, context: &Context<'_>, grant: &RoomGrant) -> GrantAnswer {
+    pub fn use_grant(&mut self, context: &Context<'_>, grant: &CapacityGrant) -> GrantOutcome {
         self.statuses.granted(grant.agent, grant.load, context.now);
         let answer = self.answer_grant(context, grant);
         let urgent_only = grant.urgent_only && answer.granted.is_none();
@@ -77,30 +77,30 @@
         answer
     }
 
-    fn answer_grant(&mut self, context: &Context<'_>, grant: &RoomGrant) -> GrantAnswer {
-        let mut settled = self.due_refusals(context.now);
+    fn answer_grant(&mut self, context: &Context<'_>, grant: &CapacityGrant) -> GrantOutcome {
+        let mut resolved = self.refuse_overdue(context.now);
         let Some(target) = self.granting_target(context, grant) else {
-            return GrantAnswer { granted: None, settled };
+            return GrantOutcome { granted: None, resolved };
         };
         while let Some(flow) = self.first_flow_for_grant(context, grant, &target) {
             if self.still_belongs_to(context, &flow, grant.service) {
                 let granted = self.send_granted(context, &flow, grant);
-                return GrantAnswer { granted, settled };
+                return GrantOutcome { granted, resolved };
             }
-            settled.extend(self.reroute_opening(context, &flow));
+            resolved.extend(self.reroute_opening(context, &flow));
         }
-        GrantAnswer { granted: None, settled }
+        GrantOutcome { granted: None, resolved }
     }
 
     /// Returns the target that grants capacity, unless this balancer knows that it accepts no new
     /// flows.
-    fn granting_target(&self, context: &Context<'_>, grant: &RoomGrant) -> Option<Candidate> {
+    fn granting_target(&self, context: &Context<'_>, grant: &CapacityGrant) -> Option<Candidate> {
         let first = self.late_binding.first_flow(grant.service)?;
         let is_granting = |candidate: &&Candidate| candidate.agent == grant.agent;
         let known = context.view.candidates(grant.service).iter().find(is_granting);
         if let Some(known) = known.filter(|known| known.standing == Standing::Ready) {
-            let takes_flows = !known.evacuated && !self.is_unhealthy(known, context.now);
-            return takes_flows.then_some(*known);
+            let accepts_flows = !known.evacuated && !self.is_unhealthy(known, context.now);
+            return accepts_flows.then_some(*known);
         }
         let route = context.view.route(first.service)?;
         let eligible = self.eligible(context, route, grant.service, first.hash());
@@ -112,7 +112,7 @@
     fn first_flow_for_grant(
         &self,
         context: &Context<'_>,
-        grant: &RoomGrant,
+        grant: &CapacityGrant,
         target: &Candidate,
     ) -> Option<FlowKey> {
         let may_use = |flow: &FlowKey| {
@@ -131,7 +131,11 @@
     }
 
     /// Decides again about an opening whose route or service has changed.
-    fn reroute_opening(&mut self, context: &Context<'_>, flow: &FlowKey) -> Option<SettledOpening> {
+    fn reroute_opening(
+        &mut self,
+        context: &Context<'_>,
+        flow: &FlowKey,
+    ) -> Option<ResolvedOpening> {
         let now = context.now;
         let opening = self.late_binding.give_up(flow, now)?;
         if let Some(entry) = self.flows.get_mut(flow) {
@@ -140,7 +144,7 @@
         let packet = ClientPacket { head: &opening.head, bytes: &opening.bytes };
         let decision = self.choose_target(context, packet, ForwardReason::Opened);
         self.keep_undecided(&decision, packet, now);
-        Some(SettledOpening::new(opening, decision, now))
+        Some(ResolvedOpening::new(opening, decision, now))
     }
 
     /// Sends a queued opening to the target that granted capacity.
@@ -148,8 +152,8 @@
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
-        grant: &RoomGrant,
-    ) -> Option<SettledOpening> {
+        grant: &CapacityGrant,
+    ) -> Option<ResolvedOpening> {
         let (now, service, agent) = (context.now, grant.service, grant.agent);
         let opening = self.late_binding.admit(flow, now)?;
         self.statuses.sent_opening(agent, now);
@@ -169,11 +173,11 @@
         let mut forward = Forward::to(agent, service, ForwardReason::OpeningGranted);
         forward.urgent = urgent;
         forward.granted = Some(self.late_binding.demand(service, now));
-        Some(SettledOpening::new(opening, Decision::Forward(forward), now))
+        Some(ResolvedOpening::new(opening, Decision::Forward(forward), now))
     }
 
     /// Refuses the openings whose budgets have expired.
-    pub fn due_refusals(&mut self, now: Millis) -> Vec<SettledOpening> {
+    pub fn refuse_overdue(&mut self, now: Millis) -> Vec<ResolvedOpening> {
         let mut refused = Vec::new();
         while let Some(opening) = self.late_binding.take_overdue(now) {
             let class = opening.class;
@@ -182,14 +186,14 @@
             let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms: 0 };
             let reason = ResetReason::Overloaded { inputs };
             let decision = self.refuse(&opening.head.client_flow(), reason);
-            refused.push(SettledOpening::new(opening, decision, now));
+            refused.push(ResolvedOpening::new(opening, decision, now));
         }
         refused
     }
 
     /// Returns further agents to ask for capacity, for services with queued openings. Requests and
     /// grants may be lost, and the agents asked before may have no capacity.
-    pub fn due_room_requests(&mut self, context: &Context<'_>) -> Vec<RoomRequest> {
+    pub fn due_capacity_requests(&mut self, context: &Context<'_>) -> Vec<CapacityRequest> {
         let now = context.now;
         let services = self.late_binding.services_due_for_request(now).into_iter();
         let requests = services.filter_map(|service| {
@@ -199,7 +203,7 @@
             let healthy = eligible.map(|eligible| eligible.healthy).unwrap_or_default();
             let agents = self.agents_to_ask(service, &healthy, now);
             let demand = self.late_binding.demand(service, now);
-            Some(RoomRequest { agents, service, demand })
+            Some(CapacityRequest { agents, service, demand })
         });
         requests.filter(|request| !request.agents.is_empty()).collect()
     }
--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -78,8 +78,8 @@
         if !self.queue.push(opening, queue_end) {
             return false;
         }
-        self.shares.waits(client_address);
-        self.service(class.service).rate(class.urgent).waiting_began(now);
+        self.shares.note_queued(client_address);
+        self.service(class.service).rate(class.urgent).note_waiting_started(now);
         true
     }
 
@@ -87,9 +87,9 @@
     pub(super) fn admit(&mut self, flow: &FlowKey, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.remove(flow)?;
         let class = opening.class;
-        self.shares.admitted(*flow.client.ip(), now);
+        self.shares.note_admitted(*flow.client.ip(), now);
         let state = self.service(class.service);
-        state.rate(class.urgent).admitted(now);
+        state.rate(class.urgent).note_admitted(now);
         state.urgent_in_row = if class.urgent { state.urgent_in_row.saturating_add(1) } else { 0 };
         self.note_departure(class, now);
         Some(opening)
@@ -98,7 +98,7 @@
     /// Removes an opening that no longer waits for capacity.
     pub(super) fn give_up(&mut self, flow: &FlowKey, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.remove(flow)?;
-        self.shares.gave_up(*flow.client.ip());
+        self.shares.note_given_up(*flow.client.ip());
         self.note_departure(opening.class, now);
         Some(opening)
     }
@@ -106,14 +106,14 @@
     /// Removes an opening whose budget has expired.
     pub(super) fn take_overdue(&mut self, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.take_overdue(now)?;
-        self.shares.gave_up(*opening.head.source.ip());
+        self.shares.note_given_up(*opening.head.source.ip());
         self.note_departure(opening.class, now);
         Some(opening)
     }
 
     fn note_departure(&mut self, class: QueueClass, now: Millis) {
         if self.queue.waiting(class) == 0 {
-            self.service(class.service).rate(class.urgent).waiting_ended(now);
+            self.service(class.service).rate(class.urgent).note_waiting_ended(now);
         }
     }
 
@@ -155,7 +155,7 @@
     /// Counts an opening that arrives. Returns the trend of its class.
     pub(super) fn note_arrival(&mut self, class: QueueClass, now: Millis) -> Trend {
         let rate = self.service(class.service).rate(class.urgent);
-        rate.arrived(now);
+        rate.note_arrival(now);
         if rate.is_draining(now) { Trend::Draining } else { Trend::Growing }
     }
 
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -20,7 +20,7 @@
 pub use decision::{
     Decision, DropReason, Forward, ForwardReason, QueueInputs, ResetReason, SelectionInputs,
 };
-pub use granting::{GrantAnswer, RoomGrant, RoomRequest, SettledOpening};
+pub use granting::{CapacityGrant, CapacityRequest, GrantOutcome, ResolvedOpening};
 pub use queue_delay::{AdmissionRate, may_wait};
 
 use crate::agent_status::AgentStatuses;
@@ -40,7 +40,7 @@
 /// Idle time after which a flow is dropped from the table while there is no configuration.
 const DEFAULT_IDLE_MS: Millis = 60_000;
 /// Minimum idle time before a flow is dropped from the table.
-const SHORTEST_IDLE_MS: Millis = 5_000;
+const MIN_IDLE_MS: Millis = 5_000;
 
 /// Inputs of a decision besides the balancer's own state.
 #[derive(Clone, Copy, Debug)]
@@ -134,12 +134,16 @@
     }
 
     /// Records that the store's data is fresh again.
-    pub fn store_regained(&mut self, now: Millis) {
+    pub fn note_store_regained(&mut self, now: Millis) {
         self.store_fresh_at = now;
     }
 
     /// Decides about a client's packet.
-    pub fn client_packet(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
+    pub fn handle_client_packet(
+        &mut self,
+        context: &Context<'_>,
+        packet: ClientPacket<'_>,
+    ) -> Decision {
         if packet.head.flags.bounced {
             return Decision::Drop(DropReason::BouncedByClient);
         }
@@ -162,7 +166,7 @@
 
     /// Decides about a client's packet that an agent returned. `granted` states whether the packet
     /// was delivered with a grant.
-    pub fn returned_packet(
+    pub fn handle_returned_packet(
         &mut self,
         context: &Context<'_>,
         packet: ClientPacket<'_>,
@@ -204,7 +208,7 @@
 
     /// Records that an agent's target answered a flow. If this was the first answer, returns the
     /// milliseconds since the opening packet was sent to its current agent.
-    pub fn holds(
+    pub fn note_holder(
         &mut self,
         flow: FlowKey,
         from: Ipv4Addr,
@@ -261,7 +265,7 @@
     /// Drops expired state.
     pub fn expire(&mut self, view: &FleetView, now: Millis) {
         let idle_ms = view.idle_timeout_ms().unwrap_or(DEFAULT_IDLE_MS);
-        self.flows.expire(now, idle_ms.max(SHORTEST_IDLE_MS));
+        self.flows.expire(now, idle_ms.max(MIN_IDLE_MS));
         self.statuses.expire(now);
         self.late_binding.expire(now);
         self.route_history.note(view);
--- a/crates/steering/src/balancer/opening.rs
+++ b/crates/steering/src/balancer/opening.rs
@@ -232,8 +232,8 @@
         })
     }
 
-    /// Returns the targets that may take a new flow: ready ones or, if none of them is healthy, also
-    /// those that lost their record but may still be alive.
+    /// Returns the targets that may take a new flow: ready ones and, if none of them is healthy,
+    /// also those that lost their record but may still be alive.
     pub(super) fn eligible(
         &self,
         context: &Context<'_>,
--- a/crates/steering/src/balancer/queue_delay.rs
+++ b/crates/steering/src/balancer/queue_delay.rs
@@ -46,7 +46,7 @@
 
 impl AdmissionRate {
     /// Records that an opening is queued. Has no effect unless the queue was empty.
-    pub fn waiting_began(&mut self, now: Millis) {
+    pub fn note_waiting_started(&mut self, now: Millis) {
         if self.resumed_at.is_some() {
             return;
         }
@@ -58,7 +58,7 @@
 
     /// Records that the queue is empty, whether the last opening was admitted or gave up. Has no
     /// effect if the queue was already empty.
-    pub fn waiting_ended(&mut self, now: Millis) {
+    pub fn note_waiting_ended(&mut self, now: Millis) {
         if self.resumed_at.is_none() {
             return;
         }
@@ -68,8 +68,8 @@
     }
 
     /// Counts a queued opening that is admitted.
-    pub fn admitted(&mut self, now: Millis) {
-        self.waiting_began(now);
+    pub fn note_admitted(&mut self, now: Millis) {
+        self.note_waiting_started(now);
         let waited = self.waiting_time(now);
         self.advance(waited / BUCKET_MS);
         let count = &mut self.admission_counts[bucket_index(self.newest_bucket)];
@@ -78,7 +78,7 @@
     }
 
     /// Counts an opening that arrives while others are queued, whether or not it may wait.
-    pub fn arrived(&mut self, now: Millis) {
+    pub fn note_arrival(&mut self, now: Millis) {
         if self.resumed_at.is_none() {
             return;
         }
--- a/crates/steering/src/balancer/search.rs
+++ b/crates/steering/src/balancer/search.rs
@@ -161,13 +161,13 @@
         context.fresh && context.now >= self.store_fresh_at + CLAIMS_COMPLETE_AFTER_MS
     }
 
-    /// Returns the packets whose search got no answer in time, for [`Self::search_again`].
+    /// Returns the packets whose search got no answer in time, for [`Self::continue_search`].
     pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
         self.searches.take_due(now, SEARCH_STEP_TIMEOUT_MS)
     }
 
     /// Continues the search of a packet from [`Self::due_searches`].
-    pub fn search_again(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
+    pub fn continue_search(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
         let flow = packet.head.client_flow();
         let stage = self.flows.get_mut(&flow).map(|entry| entry.stage);
         if !matches!(stage, Some(FlowStage::Searching | FlowStage::Unheld)) {
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Returns the packets to decide about again with [`Self::decide_again`], newest first. Returns
-    /// none unless the balancer has learned something that may change the outcome.
+    /// Returns the packets to decide about again with [`Self::retry_undecided`], newest first.
+    /// Returns none unless the balancer has learned something that may change the outcome.
     pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHead, Vec<u8>)> {
         let known = KnownState {
             label: context.view.label(),
@@ -92,12 +92,12 @@
 
     /// Decides about a packet from [`Self::due_undecided`]. Returns `None` if the packet still
     /// cannot be sent anywhere.
-    pub fn decide_again(
+    pub fn retry_undecided(
         &mut self,
         context: &Context<'_>,
         packet: ClientPacket<'_>,
     ) -> Option<Decision> {
-        let decision = self.client_packet(context, packet);
+        let decision = self.handle_client_packet(context, packet);
         (!is_undecided(&decision)).then_some(decision)
     }
 
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -32,9 +32,9 @@
 pub use agent_status::AgentStatuses;
 pub use arrival::Arrival;
 pub use balancer::{
-    AdmissionRate, Balancer, BalancerLimits, ClientPacket, ClientShares, Context, Decision,
-    DropReason, Forward, ForwardReason, GrantAnswer, QueueInputs, ResetReason, RoomGrant,
-    RoomRequest, SelectionInputs, SettledOpening, may_wait,
+    AdmissionRate, Balancer, BalancerLimits, CapacityGrant, CapacityRequest, ClientPacket,
+    ClientShares, Context, Decision, DropReason, Forward, ForwardReason, GrantOutcome, QueueInputs,
+    ResetReason, ResolvedOpening, SelectionInputs, may_wait,
 };
 pub use caller_rank::{CallerRank, RANK_EPOCH_MS, caller_rank};
 pub use flow_table::{FlowEntry, FlowStage, FlowTable};
--- a/crates/steering/tests/admission_by_delay.rs
+++ b/crates/steering/tests/admission_by_delay.rs
@@ -12,7 +12,7 @@
 use support::{Fixture, LATER, SERVICE, Store, agent, endpoint, forwarded, opening};
 use weirhinge_fleet::{Millis, ReturnReason, Route, ServiceId, TargetLoad};
 use weirhinge_steering::{
-    ClientPacket, Context, Decision, DropReason, FlowKey, ResetReason, RoomGrant,
+    CapacityGrant, ClientPacket, Context, Decision, DropReason, FlowKey, ResetReason,
 };
 
 /// How long a client waits for its flow to open, less the transit time of its request.
@@ -46,7 +46,7 @@
         fixture.queue(*arrivals.next().expect("200 flows suffice"), now);
         now += 10;
         let (served, _) = fixture.serve(1, now).expect("an opening is queued");
-        fixture.balancer.holds(served, agent(1), false, 0, now);
+        fixture.balancer.note_holder(served, agent(1), false, 0, now);
     }
     let attempted: Vec<FlowKey> = arrivals.take(130).copied().collect();
     let decisions: Vec<Decision> =
@@ -112,7 +112,7 @@
         assert_eq!(budget(&decision), BUDGET - age);
     }
     // A target of the other balancer may have opened the flow, so the client gets no reset.
-    let refused = fixture.due_refusals(LATER + BUDGET);
+    let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert!(
         refused
             .iter()
@@ -127,8 +127,8 @@
     let mut fixture = with_route(route);
     let decision = fixture.open_without_capacity(top_ranked_flows(1)[0], LATER);
     assert_eq!(budget(&decision), CLIENT_TIMEOUT);
-    assert!(fixture.due_refusals(LATER + CLIENT_TIMEOUT - 1).is_empty());
-    assert_eq!(fixture.due_refusals(LATER + CLIENT_TIMEOUT).len(), 1);
+    assert!(fixture.refuse_overdue(LATER + CLIENT_TIMEOUT - 1).is_empty());
+    assert_eq!(fixture.refuse_overdue(LATER + CLIENT_TIMEOUT).len(), 1);
 }
 
 #[test]
@@ -184,7 +184,7 @@
             if self.now.is_multiple_of(CAPACITY_INTERVAL) {
                 self.grant_capacity();
             }
-            let late = self.fixture.due_refusals(self.now).len();
+            let late = self.fixture.refuse_overdue(self.now).len();
             self.outcomes.refused_late += late as u32;
             self.due_permille += arrivals_permille / CAPACITY_INTERVAL;
             while self.due_permille >= 1_000 {
@@ -199,10 +199,10 @@
     fn grant_capacity(&mut self) {
         let service = ServiceId::of(SERVICE);
         let load = TargetLoad::default();
-        let grant = RoomGrant { agent: agent(1), service, urgent_only: false, load };
+        let grant = CapacityGrant { agent: agent(1), service, urgent_only: false, load };
         let (view, now) = (&self.fixture.view, self.now);
         let context = Context { view, fresh: true, helpers: &[], now, unix_ms: now };
-        match self.fixture.balancer.grant(&context, &grant).granted {
+        match self.fixture.balancer.use_grant(&context, &grant).granted {
             Some(opening) => {
                 self.outcomes.longest_wait = self.outcomes.longest_wait.max(opening.waited_ms);
                 self.opened(opening.head.client_flow());
@@ -216,7 +216,7 @@
         let packet = ClientPacket { head: &head, bytes: b"packet" };
         let (view, now) = (&self.fixture.view, self.now);
         let context = Context { view, fresh: true, helpers: &[], now, unix_ms: now };
-        let mut decision = self.fixture.balancer.client_packet(&context, packet);
+        let mut decision = self.fixture.balancer.handle_client_packet(&context, packet);
         if let Decision::Forward(forward) = &decision {
             if self.free_capacity > 0 {
                 self.free_capacity -= 1;
@@ -225,7 +225,7 @@
             let (agent, busy) = (forward.agent, ReturnReason::Busy);
             self.fixture.balancer.heard(agent, 0, now);
             let balancer = &mut self.fixture.balancer;
-            decision = balancer.returned_packet(&context, packet, agent, busy, false);
+            decision = balancer.handle_returned_packet(&context, packet, agent, busy, false);
         }
         match &decision {
             Decision::Queue { .. } => {}
@@ -236,7 +236,7 @@
 
     fn opened(&mut self, flow: FlowKey) {
         self.outcomes.served += 1;
-        self.fixture.balancer.holds(flow, agent(1), false, 0, self.now);
+        self.fixture.balancer.note_holder(flow, agent(1), false, 0, self.now);
     }
 }
 
--- a/crates/steering/tests/balancer.rs
+++ b/crates/steering/tests/balancer.rs
@@ -93,7 +93,7 @@
     assert_ne!(forwarded(&moved).agent, first);
     assert_eq!(forwarded(&moved).reason, ForwardReason::OpeningMoved);
     let answered = forwarded(&moved).agent;
-    fixture.balancer.holds(flow(1), answered, false, 0, LATER + 201);
+    fixture.balancer.note_holder(flow(1), answered, false, 0, LATER + 201);
     let repeated = fixture.client(&opening(flow(1)), LATER + 600);
     assert_eq!(forwarded(&repeated).agent, answered);
     assert_eq!(forwarded(&repeated).reason, ForwardReason::OpeningRepeated);
@@ -104,9 +104,9 @@
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let first = fixture.open(1, LATER);
     let second = if first == agent(1) { agent(2) } else { agent(1) };
-    fixture.balancer.holds(flow(1), second, false, 0, LATER + 5);
+    fixture.balancer.note_holder(flow(1), second, false, 0, LATER + 5);
     assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 6)).agent, first);
-    fixture.balancer.holds(flow(1), second, true, 0, LATER + 7);
+    fixture.balancer.note_holder(flow(1), second, true, 0, LATER + 7);
     assert_eq!(forwarded(&fixture.client(&data(flow(1)), LATER + 8)).agent, second);
 }
 
@@ -127,7 +127,7 @@
         let now = LATER + u64::from(port) * 10;
         let chosen = forwarded(&fixture.client(&opening(flow(port)), now)).agent;
         if chosen == agent(2) {
-            fixture.balancer.holds(flow(port), chosen, false, 0, now);
+            fixture.balancer.note_holder(flow(port), chosen, false, 0, now);
         } else {
             to_unresponsive += 1;
         }
@@ -218,7 +218,7 @@
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
     let dropped = Decision::Drop(DropReason::NoTargetYet);
     assert_eq!(fixture.client(&opening(flow(1)), LATER), refused);
-    fixture.balancer.store_regained(LATER);
+    fixture.balancer.note_store_regained(LATER);
     assert_eq!(fixture.client(&opening(flow(2)), LATER + 1_000), dropped);
     assert_eq!(fixture.client(&opening(flow(3)), LATER + 3_000), refused);
     fixture.fresh = false;
@@ -230,7 +230,7 @@
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
-    fixture.balancer.store_regained(LATER);
+    fixture.balancer.note_store_regained(LATER);
     fixture.claimed(agent(9), LATER);
     let mut chosen: Vec<Ipv4Addr> = (0..50)
         .map(|port| forwarded(&fixture.client(&opening(flow(port)), LATER + 100)).agent)
--- a/crates/steering/tests/client_shares.rs
+++ b/crates/steering/tests/client_shares.rs
@@ -41,8 +41,8 @@
         let ahead = self.waiting.len();
         let rank = self.shares.rank(client, caller_rank(client, now), now);
         if may_wait(self.rate.expected_wait(ahead, now), ahead, BUDGET_MS, rank) {
-            self.rate.waiting_began(now);
-            self.shares.waits(client);
+            self.rate.note_waiting_started(now);
+            self.shares.note_queued(client);
             self.waiting.push_back(client);
         } else if now >= WARM_UP_SECONDS * 1_000 {
             self.outcomes.entry(client).or_default().refused += 1;
@@ -51,10 +51,10 @@
 
     fn admit_first(&mut self, now: Millis) {
         let Some(client) = self.waiting.pop_front() else { return };
-        self.rate.admitted(now);
-        self.shares.admitted(client, now);
+        self.rate.note_admitted(now);
+        self.shares.note_admitted(client, now);
         if self.waiting.is_empty() {
-            self.rate.waiting_ended(now);
+            self.rate.note_waiting_ended(now);
         }
         if now >= WARM_UP_SECONDS * 1_000 {
             self.outcomes.entry(client).or_default().served += 1;
@@ -133,8 +133,8 @@
     let begin = WARM_UP_SECONDS * 1_000;
     // Some other clients were served just before.
     for number in 0..LIGHT_CLIENTS {
-        queue.shares.waits(light(number));
-        queue.shares.admitted(light(number), begin);
+        queue.shares.note_queued(light(number));
+        queue.shares.note_admitted(light(number), begin);
     }
     for _ in 0..HEAVY_OPENINGS {
         queue.arrive(HEAVY, begin);
@@ -154,7 +154,7 @@
 fn single_client_keeps_its_rank() {
     let mut shares = ClientShares::default();
     for _ in 0..HEAVY_OPENINGS {
-        shares.waits(HEAVY);
+        shares.note_queued(HEAVY);
     }
     assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
 }
@@ -164,7 +164,7 @@
     let mut shares = ClientShares::default();
     for client in [light(1), light(2), light(3)] {
         for _ in 0..20 {
-            shares.waits(client);
+            shares.note_queued(client);
         }
     }
     for client in [light(1), light(2), light(3), light(9)] {
@@ -176,10 +176,10 @@
 #[test]
 fn admitted_openings_count_for_a_second() {
     let mut shares = ClientShares::default();
-    shares.waits(light(1));
+    shares.note_queued(light(1));
     for _ in 0..5 {
-        shares.waits(HEAVY);
-        shares.admitted(HEAVY, 100);
+        shares.note_queued(HEAVY);
+        shares.note_admitted(HEAVY, 100);
     }
     let own = CallerRank::SERVED_FIRST;
     assert!(shares.rank(HEAVY, own, 1_099) > CallerRank::REFUSED_FIRST);
@@ -189,12 +189,12 @@
 #[test]
 fn openings_that_gave_up_do_not_count() {
     let mut shares = ClientShares::default();
-    shares.waits(light(1));
-    shares.waits(HEAVY);
-    shares.waits(HEAVY);
-    shares.gave_up(HEAVY);
-    shares.gave_up(HEAVY);
-    shares.gave_up(HEAVY);
+    shares.note_queued(light(1));
+    shares.note_queued(HEAVY);
+    shares.note_queued(HEAVY);
+    shares.note_given_up(HEAVY);
+    shares.note_given_up(HEAVY);
+    shares.note_given_up(HEAVY);
     assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
 }
 
@@ -216,16 +216,16 @@
 fn recent_openings_are_bounded() {
     let mut shares = ClientShares::default();
     for number in 0..10_000 {
-        shares.waits(light(number));
-        shares.admitted(light(number), 5);
+        shares.note_queued(light(number));
+        shares.note_admitted(light(number), 5);
     }
     // The first of these clients have been dropped from the table.
-    shares.waits(light(0));
-    shares.waits(light(0));
+    shares.note_queued(light(0));
+    shares.note_queued(light(0));
     let rank = shares.rank(light(0), CallerRank::SERVED_FIRST, 5);
     assert_eq!(rank, CallerRank::SERVED_FIRST.with_shares(1));
     for _ in 0..3 {
-        shares.gave_up(light(0));
+        shares.note_given_up(light(0));
     }
     assert_eq!(shares.rank(light(0), CallerRank::SERVED_FIRST, 5), CallerRank::SERVED_FIRST);
 }
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -146,7 +146,7 @@
         let accept = Flags { syn: true, ack: true, ..Flags::default() };
         target.beside.output(&output(key, accept, 0), self.now);
         let load = self.load(number);
-        self.fixture.balancer.holds(key, agent(number as u8 + 1), false, load, self.now);
+        self.fixture.balancer.note_holder(key, agent(number as u8 + 1), false, load, self.now);
         let head = data(key);
         let target = &mut self.targets[number];
         target.beside.delivery(&arrival(&head), self.now);
--- a/crates/steering/tests/former_services.rs
+++ b/crates/steering/tests/former_services.rs
@@ -64,7 +64,7 @@
     for (port, holder) in flows {
         let (asked, end) = search(fixture, *port, Some(*holder), now);
         assert!(asked.contains(holder), "{port}: {holder} among {asked:?}, then {end:?}");
-        fixture.balancer.holds(flow(*port), *holder, true, 0, now);
+        fixture.balancer.note_holder(flow(*port), *holder, true, 0, now);
         assert_eq!(forwarded(&fixture.client(&data(flow(*port)), now + 1)).agent, *holder);
     }
 }
@@ -168,7 +168,7 @@
     let (asked, end) = search(&mut fixture, 1, None, LATER);
     assert_eq!(asked.len(), 8);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    let end = fixture.search_again(&data(flow(1)), LATER + 25);
+    let end = fixture.continue_search(&data(flow(1)), LATER + 25);
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }), "{end:?}");
 }
 
@@ -182,14 +182,14 @@
     let further = fixture.bounced(&data(flow(1)), agent(1), LATER + 1);
     assert_eq!(rows(&further), [vec![agent(11)]]);
     for step in 1..=10 {
-        let decision = fixture.search_again(&data(flow(1)), LATER + 1 + step * 130);
+        let decision = fixture.continue_search(&data(flow(1)), LATER + 1 + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }), "step {step}: {decision:?}");
     }
-    let asked = fixture.search_again(&data(flow(1)), LATER + 1 + 11 * 130);
+    let asked = fixture.continue_search(&data(flow(1)), LATER + 1 + 11 * 130);
     let asked = if matches!(asked, Decision::Forward(_)) {
         asked
     } else {
-        fixture.search_again(&data(flow(1)), LATER + 1 + 12 * 130)
+        fixture.continue_search(&data(flow(1)), LATER + 1 + 12 * 130)
     };
     assert_eq!(rows(&asked), [vec![agent(11)]]);
 }
@@ -202,8 +202,8 @@
     let mut fixture = Fixture::new(&store);
     fixture.client(&data(flow(1)), LATER);
     fixture.bounced(&data(flow(1)), agent(1), LATER + 1);
-    fixture.search_again(&data(flow(1)), LATER + 121);
-    let end = fixture.search_again(&data(flow(1)), LATER + 146);
+    fixture.continue_search(&data(flow(1)), LATER + 121);
+    let end = fixture.continue_search(&data(flow(1)), LATER + 146);
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }), "{end:?}");
 }
 
--- a/crates/steering/tests/narrow_link.rs
+++ b/crates/steering/tests/narrow_link.rs
@@ -108,7 +108,7 @@
         }
         if self.now.is_multiple_of(4) {
             for (head, _) in self.fixture.balancer.due_searches(self.now) {
-                let decision = self.fixture.search_again(&head, self.now);
+                let decision = self.fixture.continue_search(&head, self.now);
                 self.execute(&head, &decision);
             }
         }
@@ -194,6 +194,6 @@
     assert!((1..10).contains(&wait_ms), "{wait_ms}");
     let due = fixture.balancer.due_searches(LATER + wait_ms);
     assert_eq!(due.iter().map(|(head, _)| *head).collect::<Vec<_>>(), [data(flow(number))]);
-    let again = fixture.search_again(&data(flow(number)), LATER + wait_ms);
+    let again = fixture.continue_search(&data(flow(number)), LATER + wait_ms);
     assert!(matches!(again, Decision::Forward(_)));
 }
--- a/crates/steering/tests/opening_queue.rs
+++ b/crates/steering/tests/opening_queue.rs
@@ -186,9 +186,9 @@
     for flow in &flows {
         fixture.queue(*flow, LATER);
     }
-    assert!(fixture.due_refusals(LATER + BUDGET - 1).is_empty());
+    assert!(fixture.refuse_overdue(LATER + BUDGET - 1).is_empty());
     assert!(fixture.balancer.next_due().is_some_and(|due| due <= LATER + BUDGET));
-    let refused = fixture.due_refusals(LATER + BUDGET);
+    let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert_eq!(refused.len(), flows.len());
     assert!(refused.iter().all(|opening| is_overloaded(&opening.decision)));
     assert_eq!((fixture.balancer.queue_length(), fixture.balancer.next_due()), (0, None));
@@ -207,17 +207,17 @@
     let mut asked: BTreeSet<Ipv4Addr> = ask.into_iter().collect();
     for step in 1..=2 {
         let now = LATER + step * 25;
-        assert!(fixture.due_room_requests(now - 1).is_empty(), "no request is due yet");
+        assert!(fixture.due_capacity_requests(now - 1).is_empty(), "no request is due yet");
         assert!(fixture.balancer.next_due().is_some_and(|due| due <= now));
-        let requests = fixture.due_room_requests(now);
+        let requests = fixture.due_capacity_requests(now);
         assert_eq!(requests.len(), 1);
         assert_eq!((requests[0].agents.len(), requests[0].demand.others.count), (2, 1));
         asked.extend(&requests[0].agents);
     }
     assert_eq!(asked.len(), 6, "all agents are asked in turn");
-    assert!(fixture.due_room_requests(LATER + 75).is_empty(), "every agent was asked recently");
+    assert!(fixture.due_capacity_requests(LATER + 75).is_empty(), "every agent was asked recently");
     assert_eq!(
-        fixture.due_room_requests(LATER + 100)[0].agents.len(),
+        fixture.due_capacity_requests(LATER + 100)[0].agents.len(),
         2,
         "the first agents are asked again"
     );
@@ -233,9 +233,9 @@
     }
     for now in [LATER + 10, LATER + 20, LATER + 95] {
         let (served, _) = fixture.serve(1, now).expect("an opening is queued");
-        fixture.balancer.holds(served, agent(1), false, 0, now);
+        fixture.balancer.note_holder(served, agent(1), false, 0, now);
     }
-    assert_eq!(fixture.due_room_requests(LATER + 100)[0].agents.len(), 2);
+    assert_eq!(fixture.due_capacity_requests(LATER + 100)[0].agents.len(), 2);
 }
 
 #[test]
@@ -268,8 +268,8 @@
     let answer = fixture.grant(1, LATER + 11);
     assert_eq!(answer.granted, None);
     let no_route = Decision::Reset { sequence: 0, reason: ResetReason::NoRoute };
-    assert_eq!(answer.settled.len(), 1);
-    assert_eq!(answer.settled[0].decision, no_route);
+    assert_eq!(answer.resolved.len(), 1);
+    assert_eq!(answer.resolved[0].decision, no_route);
     assert_eq!(fixture.balancer.queue_length(), 0);
 }
 
@@ -284,7 +284,7 @@
     fixture.view = state.view();
     let answer = fixture.grant(1, LATER + 10);
     assert_eq!(answer.granted, None);
-    let forward = forwarded(&answer.settled[0].decision);
+    let forward = forwarded(&answer.resolved[0].decision);
     assert_eq!((forward.agent, forward.service), (agent(11), ServiceId::of(OTHER)));
     // The opening keeps its age: its budget still counts from its first packet.
     let from = agent(11);
@@ -306,7 +306,7 @@
     let late = fixture.returned(&head, unresponsive, ReturnReason::Busy, LATER + 201);
     assert_eq!(late, Decision::Drop(DropReason::OpeningElsewhere));
     assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
-    let refused = fixture.due_refusals(LATER + BUDGET);
+    let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].decision, Decision::Drop(DropReason::OpeningRefused));
 }
@@ -319,7 +319,7 @@
     let head = retransmission(flow, 1);
     let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
     assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
-    fixture.balancer.holds(flow, holder, false, 0, LATER + 210);
+    fixture.balancer.note_holder(flow, holder, false, 0, LATER + 210);
     assert_eq!(fixture.balancer.queue_length(), 0);
     let held = fixture.client(&data(flow), LATER + 211);
     assert_eq!(forwarded(&held).agent, holder);
@@ -352,7 +352,7 @@
         }
         for _ in 0..20 {
             let Some(flow) = granted_flow(&fixture.grant(1, now)) else { break };
-            fixture.balancer.holds(flow, agent(1), false, 0, now);
+            fixture.balancer.note_holder(flow, agent(1), false, 0, now);
         }
         longest = longest.max(fixture.balancer.queue_length());
     }
--- a/crates/steering/tests/opening_queue_faults.rs
+++ b/crates/steering/tests/opening_queue_faults.rs
@@ -29,7 +29,7 @@
     let head = opening(flow);
     let decision = fixture.returned_granted(&head, agent(1), ReturnReason::Busy, LATER + 201);
     assert!(is_queued(&decision), "{decision:?}");
-    let refused = fixture.due_refusals(LATER + BUDGET);
+    let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].decision, DROPPED);
 }
@@ -44,7 +44,7 @@
     assert_eq!(forwarded(&search).reason, ForwardReason::Search);
     let late = fixture.returned(&opening(flow), agent(1), ReturnReason::Busy, LATER + 11);
     assert!(!matches!(late, Decision::Reset { .. }), "{late:?}");
-    for refused in fixture.due_refusals(LATER + 2 * BUDGET) {
+    for refused in fixture.refuse_overdue(LATER + 2 * BUDGET) {
         assert_eq!(refused.decision, DROPPED);
     }
 }
@@ -67,7 +67,7 @@
     let from = agent(number);
     let decision = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 204);
     assert!(is_queued(&decision), "{decision:?}");
-    let refused = fixture.due_refusals(LATER + 201 + BUDGET);
+    let refused = fixture.refuse_overdue(LATER + 201 + BUDGET);
     assert_eq!(refused.len(), 1, "its budget did not restart");
     assert_eq!(refused[0].decision, DROPPED);
 }
@@ -79,7 +79,7 @@
     let flows = top_ranked_flows(2);
     fixture.queue(flows[0], LATER);
     assert_eq!(fixture.serve(1, LATER + 5), Some((flows[0], 0)));
-    fixture.balancer.holds(flows[0], agent(1), false, 0, LATER + 6);
+    fixture.balancer.note_holder(flows[0], agent(1), false, 0, LATER + 6);
     assert_eq!(fixture.serve(2, LATER + 6), None);
     let decision = fixture.open_without_capacity(flows[1], LATER + 10);
     let Decision::Queue { ask, .. } = decision else { panic!("{decision:?}") };
@@ -90,7 +90,7 @@
 /// Returns the agents asked for capacity after the agents asked first have dropped the demand.
 fn agents_asked_later(fixture: &mut Fixture) -> BTreeSet<Ipv4Addr> {
     let requests = (1..=24).flat_map(|step| {
-        let requests = fixture.due_room_requests(LATER + step * 25);
+        let requests = fixture.due_capacity_requests(LATER + step * 25);
         requests.into_iter().filter(move |_| step * 25 > DEMAND_LIFETIME)
     });
     requests.flat_map(|request| request.agents).collect()
@@ -147,12 +147,12 @@
             let flow = top_ranked_flows(1)[0];
             let number = returned_then_granted(&mut fixture, flow);
             if is_answered {
-                fixture.balancer.holds(flow, agent(number), false, 0, LATER + 11);
+                fixture.balancer.note_holder(flow, agent(number), false, 0, LATER + 11);
             }
             let duplicate = fixture.returned(&opening(flow), agent(number), reason, LATER + 12);
             assert_eq!(duplicate, Decision::Drop(DropReason::OpeningElsewhere), "{reason:?}");
             assert_eq!(fixture.serve(other_agent(number), LATER + 13), None, "{reason:?}");
-            assert_eq!(fixture.due_refusals(LATER + 2 * BUDGET), []);
+            assert_eq!(fixture.refuse_overdue(LATER + 2 * BUDGET), []);
             let retransmitted = fixture.client(&retransmission(flow, 1), LATER + 100);
             assert_eq!(forwarded(&retransmitted).agent, agent(number), "{reason:?}");
         }
@@ -195,7 +195,7 @@
     let mut fixture = Fixture::new(&store(2));
     let flow = top_ranked_flows(1)[0];
     let number = returned_then_granted(&mut fixture, flow);
-    fixture.balancer.holds(flow, agent(number), false, 0, LATER + 11);
+    fixture.balancer.note_holder(flow, agent(number), false, 0, LATER + 11);
     let head = retransmission(flow, 1);
     assert_eq!(forwarded(&fixture.client(&head, LATER + 200)).agent, agent(number));
     let moved = fixture.returned(&head, agent(number), ReturnReason::Leaving, LATER + 201);
--- a/crates/steering/tests/queue_delay.rs
+++ b/crates/steering/tests/queue_delay.rs
@@ -62,7 +62,7 @@
         let ahead = self.waiting.len();
         let wait = self.rate.expected_wait(ahead, self.now);
         if may_wait(wait, ahead, BUDGET_MS, rank(client)) {
-            self.rate.waiting_began(self.now);
+            self.rate.note_waiting_started(self.now);
             self.waiting.push_back((client, self.now));
         } else {
             self.end(client, self.now, true);
@@ -71,10 +71,10 @@
 
     fn admit_first(&mut self) {
         let Some((client, arrived_at)) = self.waiting.pop_front() else { return };
-        self.rate.admitted(self.now);
+        self.rate.note_admitted(self.now);
         self.end(client, arrived_at, false);
         if self.waiting.is_empty() {
-            self.rate.waiting_ended(self.now);
+            self.rate.note_waiting_ended(self.now);
         }
     }
 
@@ -106,9 +106,9 @@
 
 /// Admits openings at a steady interval. Returns the time of the last admission.
 fn admit_every(rate: &mut AdmissionRate, interval_ms: Millis, count: u64, from: Millis) -> Millis {
-    rate.waiting_began(from);
+    rate.note_waiting_started(from);
     for number in 1..=count {
-        rate.admitted(from + number * interval_ms);
+        rate.note_admitted(from + number * interval_ms);
     }
     from + count * interval_ms
 }
@@ -248,7 +248,7 @@
 #[test]
 fn a_few_openings_may_wait_before_the_first_admission() {
     let mut rate = AdmissionRate::default();
-    rate.waiting_began(1_000);
+    rate.note_waiting_started(1_000);
     assert_eq!(rate.expected_wait(5, 1_100), None);
     assert!(may_wait(None, 0, BUDGET_MS, LAST));
     assert!(!may_wait(None, 100, BUDGET_MS, FIRST));
@@ -259,8 +259,8 @@
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 5, 100, 0);
     let before = rate.expected_wait(10, last);
-    rate.waiting_ended(last);
-    rate.waiting_began(last + 900);
+    rate.note_waiting_ended(last);
+    rate.note_waiting_started(last + 900);
     assert_eq!(rate.expected_wait(10, last + 900), before);
 }
 
@@ -268,8 +268,8 @@
 fn outdated_rate_is_discarded() {
     let mut rate = AdmissionRate::default();
     let last = admit_every(&mut rate, 5, 100, 0);
-    rate.waiting_ended(last);
-    rate.waiting_began(last + 10_000);
+    rate.note_waiting_ended(last);
+    rate.note_waiting_started(last + 10_000);
     assert_eq!(rate.expected_wait(10, last + 10_000), None);
 }
 
@@ -291,8 +291,8 @@
 fn clock_may_go_backwards() {
     let mut rate = AdmissionRate::default();
     admit_every(&mut rate, 10, 10, 5_000);
-    rate.admitted(1_000);
-    rate.waiting_ended(500);
-    rate.waiting_began(0);
+    rate.note_admitted(1_000);
+    rate.note_waiting_ended(500);
+    rate.note_waiting_started(0);
     assert!(rate.expected_wait(usize::MAX, 0).is_some());
 }
--- a/crates/steering/tests/search.rs
+++ b/crates/steering/tests/search.rs
@@ -39,7 +39,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(5));
     let first = forwarded(&fixture.client(&data(flow(1)), LATER)).agent;
     let second = forwarded(&fixture.bounced(&data(flow(1)), first, LATER)).agent;
-    fixture.balancer.holds(flow(1), second, true, 0, LATER + 1);
+    fixture.balancer.note_holder(flow(1), second, true, 0, LATER + 1);
     let decision = fixture.client(&data(flow(1)), LATER + 2);
     assert_eq!(forwarded(&decision).agent, second);
     assert_eq!(forwarded(&decision).reason, ForwardReason::Held);
@@ -51,9 +51,9 @@
     let head = data(flow(1));
     let (_, end) = fixture.bounce_to_the_end(&head, LATER);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    let early = fixture.search_again(&head, LATER + 20);
+    let early = fixture.continue_search(&head, LATER + 20);
     assert_eq!(early, Decision::Drop(DropReason::NobodyHoldsYet));
-    let decision = fixture.search_again(&head, LATER + 130);
+    let decision = fixture.continue_search(&head, LATER + 130);
     let reason = ResetReason::NobodyHolds;
     assert_eq!(decision, Decision::Reset { sequence: head.acknowledgment, reason });
 }
@@ -68,7 +68,7 @@
     fixture.bounce_to_the_end(&head, LATER);
     store.target(4, SERVICE, Some(TargetState::Ready), LATER + 10);
     fixture.view = store.view();
-    let decision = fixture.search_again(&head, LATER + 30);
+    let decision = fixture.continue_search(&head, LATER + 30);
     assert_eq!(path(&decision), vec![agent(4)]);
     assert!(matches!(fixture.bounced(&head, agent(4), LATER + 32), Decision::Reset { .. }));
 }
@@ -103,10 +103,10 @@
     assert!(fixture.balancer.due_searches(LATER + 50).is_empty());
     let due = fixture.balancer.due_searches(LATER + 130);
     assert_eq!(due, vec![(head, b"packet".to_vec())]);
-    let next = fixture.search_again(&head, LATER + 130);
+    let next = fixture.continue_search(&head, LATER + 130);
     let others = rows(&next).concat().into_iter().find(|agent| *agent != first);
     let found = others.expect("the search goes on past the first");
-    fixture.balancer.holds(flow(1), found, true, 0, LATER + 131);
+    fixture.balancer.note_holder(flow(1), found, true, 0, LATER + 131);
     assert!(fixture.balancer.due_searches(LATER + 400).is_empty());
 }
 
@@ -180,7 +180,7 @@
     let due_at = fixture.balancer.next_due().expect("the packet is kept");
     assert!(due_at <= LATER + 40, "{} ms", due_at - LATER);
     assert_eq!(fixture.balancer.due_searches(due_at), vec![(head, b"packet".to_vec())]);
-    let decision = fixture.search_again(&head, due_at);
+    let decision = fixture.continue_search(&head, due_at);
     let reason = ResetReason::NobodyHolds;
     assert_eq!(decision, Decision::Reset { sequence: head.acknowledgment, reason });
 }
--- a/crates/steering/tests/search_at_size.rs
+++ b/crates/steering/tests/search_at_size.rs
@@ -37,7 +37,7 @@
         }
     }
     assert_eq!(decision, Decision::Drop(DropReason::NobodyHoldsYet));
-    let end = fixture.search_again(head, LATER + 25);
+    let end = fixture.continue_search(head, LATER + 25);
     assert!(matches!(end, Decision::Reset { .. }), "nobody is asked a second time");
     cost
 }
@@ -91,7 +91,7 @@
             match fate() {
                 Fate::Lost => {}
                 _ if row.contains(&holder) => {
-                    fixture.balancer.holds(flow(1), holder, true, 0, now);
+                    fixture.balancer.note_holder(flow(1), holder, true, 0, now);
                 }
                 Fate::ReturnLost => {}
                 Fate::Asked => next = fixture.bounced(&head, row[row.len() - 1], now),
@@ -154,7 +154,7 @@
     }
     for port in 40..45 {
         fixture.client(&data(flow(port)), LATER + 40);
-        fixture.balancer.holds(flow(port), many_agent(3), true, 0, LATER + 42);
+        fixture.balancer.note_holder(flow(port), many_agent(3), true, 0, LATER + 42);
     }
     assert_eq!(first_rows(&mut fixture, 1_003, LATER + 50), 1);
 }
--- a/crates/steering/tests/search_past_silence.rs
+++ b/crates/steering/tests/search_past_silence.rs
@@ -18,7 +18,7 @@
     let mut now = LATER;
     for _ in 0..20 {
         now += 130;
-        let mut decision = fixture.search_again(&head, now);
+        let mut decision = fixture.continue_search(&head, now);
         while let Decision::Forward(forward) = &decision {
             let from = forward.agent;
             if from == silent {
@@ -50,7 +50,7 @@
             return;
         }
         now += 130;
-        decision = fixture.search_again(&head, now);
+        decision = fixture.continue_search(&head, now);
     }
     panic!("never given up");
 }
@@ -61,15 +61,15 @@
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let head = data(flow(1));
     let silent = path(&fixture.client(&head, LATER))[1];
-    for row in rows(&fixture.search_again(&head, LATER + 130)) {
+    for row in rows(&fixture.continue_search(&head, LATER + 130)) {
         if row != [silent] {
             fixture.bounced(&head, row[0], LATER + 131);
         }
     }
-    let end = fixture.search_again(&head, LATER + 260);
+    let end = fixture.continue_search(&head, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    assert_eq!(rows(&fixture.search_again(&head, LATER + 390)), vec![vec![silent]]);
-    let found = fixture.balancer.holds(flow(1), silent, true, 0, LATER + 400);
+    assert_eq!(rows(&fixture.continue_search(&head, LATER + 390)), vec![vec![silent]]);
+    let found = fixture.balancer.note_holder(flow(1), silent, true, 0, LATER + 400);
     assert_eq!(found, None);
     assert_eq!(forwarded(&fixture.client(&head, LATER + 401)).agent, silent);
 }
@@ -101,7 +101,7 @@
             }
             if !matches!(decision, Decision::Reset { .. }) {
                 now = fixture.balancer.next_due().expect("the packet is kept").max(now);
-                decision = fixture.search_again(&head, now);
+                decision = fixture.continue_search(&head, now);
             }
         }
         outcomes.push(now - began);
@@ -118,7 +118,7 @@
     fixture.client(&head, LATER);
     for step in 1..30 {
         fixture.claimed(agent(1), LATER + step * 130);
-        let decision = fixture.search_again(&head, LATER + step * 130);
+        let decision = fixture.continue_search(&head, LATER + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }));
     }
 }
@@ -133,7 +133,7 @@
     fixture.client(&head, LATER);
     for step in 1..30 {
         fixture.balancer.heard(agent(1), 0, LATER + step * 130 - 1);
-        let decision = fixture.search_again(&head, LATER + step * 130);
+        let decision = fixture.continue_search(&head, LATER + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }));
     }
 }
@@ -143,7 +143,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let head = data(flow(1));
     let asked = path(&fixture.client(&head, LATER));
-    let again = rows(&fixture.search_again(&head, LATER + 130));
+    let again = rows(&fixture.continue_search(&head, LATER + 130));
     let alone: Vec<Vec<Ipv4Addr>> = asked.iter().map(|agent| vec![*agent]).collect();
     assert_eq!(again, alone);
 }
@@ -154,14 +154,14 @@
     let head = data(flow(1));
     let silent = path(&fixture.client(&head, LATER))[1];
     let mut now = LATER + 130;
-    for row in rows(&fixture.search_again(&head, now)) {
+    for row in rows(&fixture.continue_search(&head, now)) {
         if row != [silent] {
             now += 1;
             fixture.bounced(&head, row[0], now);
         }
     }
     // The silent one is put down as such, and asked last by the next flow.
-    let end = fixture.search_again(&head, LATER + 260);
+    let end = fixture.continue_search(&head, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
     assert!(!path(&fixture.client(&data(flow(2)), LATER + 300)).contains(&silent));
 }
@@ -192,7 +192,7 @@
             let is_held_up = asked.iter().any(|row| row.contains(&mute));
             if is_held_up || !matches!(decision, Decision::Forward(_) | Decision::Reset { .. }) {
                 now = fixture.balancer.next_due().expect("the packet is kept").max(now);
-                decision = fixture.search_again(&head, now);
+                decision = fixture.continue_search(&head, now);
             }
         }
         outcomes.push(now - began);
@@ -223,7 +223,7 @@
     assert!(!path(&fixture.client(&head, LATER)).contains(&agent(2)));
     let (_, end) = fixture.bounce_to_the_end(&data(flow(2)), LATER);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    let end = fixture.search_again(&data(flow(2)), LATER + 25);
+    let end = fixture.continue_search(&data(flow(2)), LATER + 25);
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }));
     // Openings pass it over as well.
     let chosen =
--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -36,12 +36,12 @@
     pub fn pressed(&mut self, head: &PacketHead, helpers: &[Ipv4Addr], now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
         let context = Context { helpers, ..context };
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.handle_client_packet(&context, ClientPacket { head, bytes: b"packet" })
     }
 
     pub fn client(&mut self, head: &PacketHead, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.handle_client_packet(&context, ClientPacket { head, bytes: b"packet" })
     }
 
     /// An agent sends a packet back that it got without a grant.
@@ -76,7 +76,7 @@
     ) -> Decision {
         let (balancer, context) = self.parts(now);
         let packet = ClientPacket { head, bytes: b"packet" };
-        balancer.returned_packet(&context, packet, from, reason, granted)
+        balancer.handle_returned_packet(&context, packet, from, reason, granted)
     }
 
     pub fn bounced(&mut self, head: &PacketHead, from: Ipv4Addr, now: u64) -> Decision {
@@ -88,9 +88,9 @@
         self.balancer.claimed(agent, ZoneId::of("a"), &claim(SERVICE), now);
     }
 
-    pub fn search_again(&mut self, head: &PacketHead, now: u64) -> Decision {
+    pub fn continue_search(&mut self, head: &PacketHead, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.search_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.continue_search(&context, ClientPacket { head, bytes: b"packet" })
     }
 
     pub fn due_undecided(&mut self, now: u64) -> Vec<(PacketHead, Vec<u8>)> {
@@ -98,15 +98,15 @@
         balancer.due_undecided(&context)
     }
 
-    pub fn decide_again(&mut self, head: &PacketHead, now: u64) -> Option<Decision> {
+    pub fn retry_undecided(&mut self, head: &PacketHead, now: u64) -> Option<Decision> {
         let (balancer, context) = self.parts(now);
-        balancer.decide_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.retry_undecided(&context, ClientPacket { head, bytes: b"packet" })
     }
 
     /// Opens a flow and lets the chosen target answer.
     pub fn open(&mut self, port: u16, now: u64) -> Ipv4Addr {
         let chosen = forwarded(&self.client(&opening(flow(port)), now)).agent;
-        self.balancer.holds(flow(port), chosen, false, 0, now);
+        self.balancer.note_holder(flow(port), chosen, false, 0, now);
         chosen
     }
 
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -93,7 +93,7 @@
 /// All rows of agents that a searching packet goes along.
 pub fn rows(decision: &Decision) -> Vec<Vec<Ipv4Addr>> {
     let forward = forwarded(decision);
-    [vec![path_of(forward)], forward.further_rows.clone()].concat()
+    [vec![path_of(forward)], forward.further_paths.clone()].concat()
 }
 
 /// The agents of a forwarded packet's first row, the first one first.
--- a/crates/steering/tests/support/queue.rs
+++ b/crates/steering/tests/support/queue.rs
@@ -4,8 +4,8 @@
 
 use weirhinge_fleet::{ReturnReason, Route, ServiceId, TargetLoad};
 use weirhinge_steering::{
-    Context, Decision, FlowKey, GrantAnswer, PacketHead, ResetReason, RoomGrant, RoomRequest,
-    SettledOpening, caller_rank,
+    CapacityGrant, CapacityRequest, Context, Decision, FlowKey, GrantOutcome, PacketHead,
+    ResetReason, ResolvedOpening, caller_rank,
 };
 
 use super::{Fixture, SERVICE, Store, agent, endpoint, forwarded, opening, route_to};
@@ -67,7 +67,7 @@
 }
 
 /// The flow that used a grant.
-pub fn granted_flow(answer: &GrantAnswer) -> Option<FlowKey> {
+pub fn granted_flow(answer: &GrantOutcome) -> Option<FlowKey> {
     answer.granted.as_ref().map(|opening| opening.head.client_flow())
 }
 
@@ -90,16 +90,16 @@
         assert!(is_queued(&decision), "{decision:?}");
     }
 
-    pub fn grant_for(&mut self, urgent_only: bool, agent: Ipv4Addr, now: u64) -> GrantAnswer {
+    pub fn grant_for(&mut self, urgent_only: bool, agent: Ipv4Addr, now: u64) -> GrantOutcome {
         let service = ServiceId::of(SERVICE);
-        let grant = RoomGrant { agent, service, urgent_only, load: TargetLoad::default() };
+        let grant = CapacityGrant { agent, service, urgent_only, load: TargetLoad::default() };
         let context =
             Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 };
-        self.balancer.grant(&context, &grant)
+        self.balancer.use_grant(&context, &grant)
     }
 
     /// An agent grants capacity for any opening.
-    pub fn grant(&mut self, number: u8, now: u64) -> GrantAnswer {
+    pub fn grant(&mut self, number: u8, now: u64) -> GrantOutcome {
         self.grant_for(false, agent(number), now)
     }
 
@@ -113,13 +113,13 @@
         Some((granted.head.client_flow(), remaining.others.count))
     }
 
-    pub fn due_refusals(&mut self, now: u64) -> Vec<SettledOpening> {
-        self.balancer.due_refusals(now)
+    pub fn refuse_overdue(&mut self, now: u64) -> Vec<ResolvedOpening> {
+        self.balancer.refuse_overdue(now)
     }
 
-    pub fn due_room_requests(&mut self, now: u64) -> Vec<RoomRequest> {
+    pub fn due_capacity_requests(&mut self, now: u64) -> Vec<CapacityRequest> {
         let context =
             Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 };
-        self.balancer.due_room_requests(&context)
+        self.balancer.due_capacity_requests(&context)
     }
 }
--- a/crates/steering/tests/undecided.rs
+++ b/crates/steering/tests/undecided.rs
@@ -23,7 +23,7 @@
     let newest_first = [data(flow(4)), opening(flow(3)), opening(flow(2)), opening(flow(1))];
     assert_eq!(heads, newest_first);
     for head in &heads {
-        let decision = fixture.decide_again(head, LATER + 30);
+        let decision = fixture.retry_undecided(head, LATER + 30);
         assert!(matches!(decision, Some(Decision::Forward(_))), "{decision:?}");
     }
     assert!(fixture.due_undecided(LATER + 40).is_empty(), "each packet is decided about only once");
@@ -40,7 +40,7 @@
     fixture.claimed(agent(9), LATER + 20);
     let due = fixture.due_undecided(LATER + 24);
     assert_eq!(due.len(), 1);
-    let decision = fixture.decide_again(&due[0].0, LATER + 24);
+    let decision = fixture.retry_undecided(&due[0].0, LATER + 24);
     assert_eq!(decision.as_ref().map(|decision| forwarded(decision).agent), Some(agent(9)));
 }
 
