--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -235,7 +235,8 @@
         asked
     }
 
-    /// Records that an agent was sent an empty demand and therefore has none on record.
+    /// Records that an agent was sent an empty demand. The agent then no longer knows of this
+    /// balancer and may be asked again at once.
     pub(super) fn forget_asked(&mut self, agent: Ipv4Addr) {
         self.asked_at.remove(&agent);
     }
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -52,7 +52,7 @@
     /// Balancers that take over packets of unknown flows; empty while this balancer has the
     /// processor time to handle them itself.
     pub helpers: &'a [Ipv4Addr],
-    /// Monotonic time.
+    /// Current time of the process's steady clock.
     pub now: Millis,
     /// Wall-clock time in milliseconds since 1970. It differs between machines and may jump.
     pub unix_ms: u64,
@@ -164,8 +164,8 @@
         decision
     }
 
-    /// Decides about a client's packet that an agent returned. `granted` states whether the packet
-    /// was delivered with a grant.
+    /// Decides about a client's packet that an agent returned. `granted` states whether the agent
+    /// had received the packet with a grant.
     pub fn handle_returned_packet(
         &mut self,
         context: &Context<'_>,
@@ -223,8 +223,8 @@
         if matches!(entry.stage, FlowStage::Searching | FlowStage::Unheld) {
             self.search_outcomes.note(false, now);
         }
-        // Two targets may answer retransmissions of one opening packet. The client continues with
-        // one of them, and only later packets of that one confirm the flow.
+        // One target may answer the opening packet and another one its retransmission. The client
+        // continues with one of them, and only later packets of that one confirm the flow.
         if confirmed || entry.stage != FlowStage::Held {
             entry.hold(from);
             self.searches.remove(&flow);
@@ -238,8 +238,8 @@
     }
 
     /// Records an agent's report about its co-located target. The agent runs in `zone`.
-    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
-        self.statuses.claimed(agent, zone, claim, now);
+    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, status: &TargetClaim, now: Millis) {
+        self.statuses.claimed(agent, zone, status, now);
     }
 
     /// Records an agent's answer to a probe.
@@ -297,7 +297,7 @@
         let agent = entry.agent;
         let reason = match entry.stage {
             FlowStage::Unheld | FlowStage::Queued => return self.search(context, head),
-            FlowStage::Searching if search::is_stalled(entry, context.now) => {
+            FlowStage::Searching if search::has_timed_out(entry, context.now) => {
                 return self.search_past_unanswered(context, head);
             }
             FlowStage::Searching => return self.join_search(context, head),
@@ -320,7 +320,7 @@
         let Some(entry) = self.flows.get_mut(flow) else {
             let mut entry = FlowEntry::new(from, stage, context.now);
             entry.tried.insert(from);
-            // It is unknown what happened to retransmissions of the opening packet.
+            // It is unknown what happened to other copies of the opening packet.
             entry.may_be_open = true;
             self.flows.insert(*flow, entry);
             return None;
--- a/crates/steering/src/balancer/opening.rs
+++ b/crates/steering/src/balancer/opening.rs
@@ -57,11 +57,11 @@
             return Decision::Drop(DropReason::OpeningQueued);
         }
         let granted_by = self.recently_granted_agent(&flow, now);
-        let is_copy = |entry: &FlowEntry| {
+        let is_retransmission = |entry: &FlowEntry| {
             matches!(entry.stage, FlowStage::Opening | FlowStage::Held)
                 && now.saturating_sub(entry.tried_at) < OPENING_SPAN_MS
         };
-        let Some(entry) = self.flows.get_mut(&flow).filter(|entry| is_copy(entry)) else {
+        let Some(entry) = self.flows.get_mut(&flow).filter(|entry| is_retransmission(entry)) else {
             self.flows.remove(&flow);
             return self.choose_target(context, packet, ForwardReason::Opened);
         };
@@ -165,8 +165,8 @@
         let eligible = self.eligible(context, route, service, flow.hash());
         let any_eligible = !eligible.is_empty();
         let untried = eligible.without_tried(self.flows.tried(&flow));
-        let is_forced = reason == ForwardReason::OpeningWaits || untried.healthy.is_empty();
-        if !is_forced && self.must_queue(route, service) {
+        let bypasses_queue = reason == ForwardReason::OpeningWaits || untried.healthy.is_empty();
+        if !bypasses_queue && self.must_queue(route, service) {
             let targets = &untried.healthy;
             let place = QueuePlace { route, service, queue_end: QueueEnd::Back, targets };
             return self.queue_opening(context, packet, &place);
@@ -219,8 +219,9 @@
         Decision::Drop(DropReason::NoTargetYet)
     }
 
-    /// Whether all ready targets of a flow's service are in evacuated zones. This is known even
-    /// without recent store data, so the refusal need not wait for any.
+    /// For a flow whose service has no eligible target: whether the service has ready targets, all
+    /// of them in evacuated zones. This is known even without recent store data, so the refusal
+    /// need not wait for any.
     fn is_evacuated(&self, context: &Context<'_>, flow: &FlowKey) -> bool {
         let route = context.view.route(flow.service);
         let service = route.and_then(|route| route.pick(flow.hash()));
@@ -291,7 +292,7 @@
                 let is_known = candidates.iter().any(|candidate| candidate.agent == agent);
                 if !is_known && !is_evacuated {
                     let region = zone.and_then(|zone| context.view.region_of(zone));
-                    unrecorded_targets.push(claimed_candidate(agent, region, now));
+                    unrecorded_targets.push(reported_candidate(agent, region, now));
                 }
             }
         }
@@ -300,7 +301,7 @@
 }
 
 /// A target known only from its agent's reports.
-fn claimed_candidate(agent: Ipv4Addr, region: Option<RegionId>, now: Millis) -> Candidate {
+fn reported_candidate(agent: Ipv4Addr, region: Option<RegionId>, now: Millis) -> Candidate {
     Candidate {
         agent,
         standing: Standing::Vanished(now),
--- a/crates/steering/src/balancer/queue_delay.rs
+++ b/crates/steering/src/balancer/queue_delay.rs
@@ -2,8 +2,8 @@
 //!
 //! This handles an overload that outlasts the queue: an opening that would miss its objective is
 //! refused on arrival, while its client still has time to try elsewhere. The permitted wait depends
-//! on the client's rank, so that the queue settles at the length at which as many openings are
-//! queued as are admitted.
+//! on the client's rank, so that the queue settles at the length at which openings join it as fast
+//! as they are admitted from it.
 
 use weirhinge_fleet::Millis;
 
@@ -186,12 +186,12 @@
     }
 }
 
-/// Returns `whole * (1 - 0.75 * rank)`, where the rank of a client within its share is between 0
+/// Returns `limit * (1 - 0.75 * rank)`, where the rank of a client within its share is between 0
 /// and 1.
-fn scale_by_rank(whole: u64, rank: CallerRank) -> u64 {
+fn scale_by_rank(limit: u64, rank: CallerRank) -> u64 {
     const RANK_RANGE: u64 = 1 << 16;
     let share = (4 * RANK_RANGE).saturating_sub(3 * u64::from(rank.value()));
-    whole.saturating_mul(share) / (4 * RANK_RANGE)
+    limit.saturating_mul(share) / (4 * RANK_RANGE)
 }
 
 fn bucket_index(bucket: u64) -> usize {
--- a/crates/steering/src/balancer/search.rs
+++ b/crates/steering/src/balancer/search.rs
@@ -33,7 +33,7 @@
 const GIVE_UP_AFTER_MS: Millis = 25;
 /// Time after the store's data became fresh within which every agent has reported its co-located
 /// target.
-const CLAIMS_COMPLETE_AFTER_MS: Millis = 250;
+const REPORTS_COMPLETE_AFTER_MS: Millis = 250;
 
 impl Balancer {
     /// Sends a packet of an unknown flow to the next targets that may hold it.
@@ -158,7 +158,7 @@
 
     /// Whether this balancer knows of every target that may hold a flow.
     pub(super) fn knows_all_targets(&self, context: &Context<'_>) -> bool {
-        context.fresh && context.now >= self.store_fresh_at + CLAIMS_COMPLETE_AFTER_MS
+        context.fresh && context.now >= self.store_fresh_at + REPORTS_COMPLETE_AFTER_MS
     }
 
     /// Returns the packets whose search got no answer in time, for [`Self::continue_search`].
@@ -235,6 +235,6 @@
 }
 
 /// Whether the agents asked last have had enough time to answer.
-pub(super) fn is_stalled(entry: &FlowEntry, now: Millis) -> bool {
+pub(super) fn has_timed_out(entry: &FlowEntry, now: Millis) -> bool {
     now.saturating_sub(entry.tried_at) >= SEARCH_STEP_TIMEOUT_MS
 }
--- a/crates/steering/src/balancer/search_order.rs
+++ b/crates/steering/src/balancer/search_order.rs
@@ -75,7 +75,7 @@
             }
             for agent in self.statuses.claimants(service, context.now) {
                 if self.should_ask_unrecorded(context, route, agent) && listed.insert(agent) {
-                    targets.push(claimed_search_target(service, agent));
+                    targets.push(reported_search_target(service, agent));
                 }
             }
         }
@@ -110,7 +110,7 @@
                 && context.view.target_beside(*agent).is_none()
                 && self.should_ask_unrecorded(context, route, *agent)
         });
-        targets.extend(unrecorded.map(|(service, agent)| claimed_search_target(service, agent)));
+        targets.extend(unrecorded.map(|(service, agent)| reported_search_target(service, agent)));
         targets.sort_by_key(|target| Reverse(rank(flow_hash, target.agent)));
         targets
     }
@@ -187,6 +187,6 @@
     }
 }
 
-fn claimed_search_target(service: ServiceId, agent: Ipv4Addr) -> SearchTarget {
+fn reported_search_target(service: ServiceId, agent: Ipv4Addr) -> SearchTarget {
     SearchTarget { service, agent, is_unresponsive: false, is_far: false }
 }
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -20,7 +20,7 @@
 struct KnownState {
     label: Option<VersionLabel>,
     targets: usize,
-    claims: u64,
+    reported_targets: u64,
     helpers: usize,
     evacuated: usize,
 }
@@ -83,7 +83,7 @@
         let known = KnownState {
             label: context.view.label(),
             targets: context.view.target_count(),
-            claims: self.statuses.claims_seen(),
+            reported_targets: self.statuses.claims_seen(),
             helpers: context.helpers.len(),
             evacuated: context.view.evacuated_count(),
         };
