--- a/crates/steering/tests/evacuation.rs
+++ b/crates/steering/tests/evacuation.rs
@@ -43,6 +43,7 @@
     assert!(chosen.contains(&agent(1)) && chosen.contains(&agent(2)));
 }
 
+/// The refusal does not wait for fresh store data.
 #[test]
 fn openings_are_refused_when_all_zones_are_evacuated() {
     let mut store = store();
