--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of each agent from the agent itself.
+//! Tracks what a balancer learns about each agent from the agent's own messages.
 
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
@@ -7,115 +7,116 @@
 
 use crate::view::Candidate;
 
-/// An agent that leaves an opening packet unanswered for this long is passed
-/// over. Far above a journey between zones and a handshake.
+/// An agent that leaves an opening packet unanswered for this long is skipped. Far longer than a
+/// round trip between zones plus a handshake.
 const UNANSWERED_MS: Millis = 150;
-/// How often a passed-over agent is tried again.
+/// Interval after which a skipped agent is tried again.
 const RETRY_MS: Millis = 700;
-/// How long an agent that left a search unanswered is asked last.
-const MUTE_MS: Millis = 3_000;
-/// Searching packets left unanswered that are no accident any more.
-const PERSISTENTLY_MUTE: u32 = 2;
-/// How long an agent's word that its target fails counts; about the time for which the
-/// agent turns new flows away at first.
+/// How long an agent that left a search packet unanswered is asked last.
+const UNRESPONSIVE_MS: Millis = 3_000;
+/// Unanswered search packets after which packet loss is no longer a likely cause.
+const PERSISTENT_UNANSWERED_SEARCHES: u32 = 2;
+/// How long an agent's report that its target is failing is valid: about the time for which the
+/// agent first rejects new flows.
 const FAILING_MS: Millis = 1_000;
-/// How long the word of an agent that it stops counts: longer than a stop and a start take.
-/// In a large fleet a balancer may not hear of the agent's next process for much longer.
+/// How long an agent's report that it is shutting down is valid: longer than a stop and a start
+/// take. In a large fleet, a balancer may receive nothing from the agent's next process for much
+/// longer than that.
 const LEAVING_MS: Millis = 8_000;
-/// How long an agent's word about its target counts.
-const CLAIM_LIFETIME_MS: Millis = 2_500;
-/// How long after the last sign of life an agent is forgotten.
+/// How long an agent's report of a live target is valid.
+const TARGET_REPORT_LIFETIME_MS: Millis = 2_500;
+/// Agents with which no packet was exchanged for this long are removed.
 const STATUS_LIFETIME_MS: Millis = 60_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AgentStatus {
-    heard_at: Millis,
-    /// How busy the target was when the agent last spoke.
+    reported_at: Millis,
+    /// Load of the target in the agent's latest report.
     load: TargetLoad,
-    /// Opening packets sent since then.
+    /// Opening packets sent since that report.
     sent_since: u32,
     /// When the oldest opening packet without an answer was sent.
     unanswered_since: Option<Millis>,
     last_tried: Millis,
-    /// When it last left a searching packet unanswered, and was not heard since.
-    ignored_search_at: Option<Millis>,
-    /// How many searching packets it left unanswered since it last answered a packet.
-    ignored_searches: u32,
-    /// When it last said that it is about to stop.
+    /// When the agent last left a search packet unanswered; none if it has answered a packet since.
+    unanswered_search_at: Option<Millis>,
+    /// Search packets left unanswered since the agent last answered a packet.
+    unanswered_searches: u32,
+    /// When the agent last reported that it is shutting down.
     leaving_at: Option<Millis>,
-    /// When it last said that its target fails.
+    /// When the agent last reported that its target is failing.
     failing_at: Option<Millis>,
-    claim: Option<Claim>,
+    reported_target: Option<ReportedTarget>,
     without_former_flows: Option<WithoutFormerFlows>,
-    /// When its last word came, that its target has ended.
+    /// When the agent reported that its target has ended.
     ended_at: Option<Millis>,
 }
 
 impl AgentStatus {
-    /// Takes in how busy the target is.
-    fn tell(&mut self, load: TargetLoad, now: Millis) {
-        self.heard_at = now;
+    /// Updates the load that the agent reported.
+    fn update_load(&mut self, load: TargetLoad, now: Millis) {
+        self.reported_at = now;
         self.load = load;
         self.sent_since = 0;
     }
 }
 
-/// An agent's word that a target works beside it.
+/// An agent's report that its target is live and the agent is not shutting down.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct ReportedTarget {
     service: ServiceId,
     zone: ZoneId,
-    said_at: Millis,
+    received_at: Millis,
 }
 
-impl Claim {
+impl ReportedTarget {
     fn is_fresh(&self, now: Millis) -> bool {
-        now.saturating_sub(self.said_at) < CLAIM_LIFETIME_MS
+        now.saturating_sub(self.received_at) < TARGET_REPORT_LIFETIME_MS
     }
 }
 
-/// What an agent told of its target's times.
+/// Service and wait times that an agent reported for its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ToldTimes {
-    /// Milliseconds for which the target works on one request.
+    /// Milliseconds that the target spends on one request.
     pub service_ms: u32,
-    /// Milliseconds for which one more request was to wait before.
+    /// Milliseconds for which one more request would have waited before being served.
     pub wait_ms: u32,
-    /// Milliseconds since then.
+    /// Milliseconds since the report.
     pub age_ms: Millis,
 }
 
-/// An agent's word that its target holds no flow of a route that does not name its service.
+/// An agent's report that its target holds no flow of a route that does not name its service.
 #[derive(Clone, Copy, Debug)]
 struct WithoutFormerFlows {
-    /// The version of the configuration that the routes were those of.
+    /// The version of the configuration that defined the routes.
     configuration: u64,
-    said_at: Millis,
+    received_at: Millis,
 }
 
-/// Silence of all agents after which this balancer takes itself for cut off.
-/// Each agent speaks at least every half second.
+/// A balancer that receives nothing from any agent for this long is considered isolated. Each agent
+/// sends a message at least every 500 ms.
 const ISOLATED_AFTER_MS: Millis = 700;
-/// Opening packets left unanswered, with no answer to any other, that say so too:
-/// then agents are heard but not reached.
+/// Unanswered opening packets, with no answer to any other packet, after which the balancer is
+/// considered isolated although it still receives messages: packets to the agents are lost.
 const ISOLATED_OPENINGS: u32 = 8;
 
-/// The agents that this balancer has dealt with.
+/// The status of each agent that this balancer has exchanged packets with.
 #[derive(Clone, Debug, Default)]
 pub struct AgentStatuses {
     statuses: HashMap<Ipv4Addr, AgentStatus>,
-    /// When any agent last spoke.
-    any_heard_at: Option<Millis>,
-    /// When the first of the opening packets below was sent.
+    /// When a message of any agent was last received.
+    last_contact_at: Option<Millis>,
+    /// When the first of the opening packets counted in `unanswered` was sent.
     unanswered_since: Option<Millis>,
     /// Opening packets sent since any agent last answered a packet.
     unanswered: u32,
-    /// Agents that claimed a target and had not claimed it before.
-    claims_seen: u64,
+    /// Number of reports of a live target from agents without such a report before.
+    targets_reported: u64,
 }
 
 impl AgentStatuses {
-    /// Records that an opening packet went to an agent.
+    /// Records that an opening packet was sent to an agent.
     pub fn sent_opening(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.sent_since += 1;
@@ -125,183 +126,189 @@
         self.unanswered += 1;
     }
 
-    /// Records an agent's answer to a probe: packets reach agents, though targets may not
-    /// answer any. Without probes a balancer that routers leave alone, as it is not ready,
-    /// would send no more openings and could never find out that it is cut off no longer.
+    /// Records an agent's answer to a probe: packets reach the agents, even if their targets answer
+    /// none. Routers send no packets to a balancer that is not ready, so without probes it would
+    /// send no opening packets and could never detect that it is reachable again.
     pub fn reached(&mut self, now: Millis) {
-        self.any_heard_at = Some(now);
+        self.last_contact_at = Some(now);
         self.unanswered = 0;
         self.unanswered_since = None;
     }
 
-    /// Whether it is to be found out by probes if agents are reached.
+    /// Whether to send probes to find out if agents are reachable.
     pub fn doubts_reach(&self, now: Millis) -> bool {
-        let waits = self.unanswered_since.map(|since| now.saturating_sub(since));
-        self.unanswered >= ISOLATED_OPENINGS && waits.is_some_and(|waits| waits >= UNANSWERED_MS)
+        let waited_ms = self.unanswered_since.map(|since| now.saturating_sub(since));
+        self.unanswered >= ISOLATED_OPENINGS
+            && waited_ms.is_some_and(|waited_ms| waited_ms >= UNANSWERED_MS)
     }
 
-    /// Whether this balancer seems to be cut off from all agents, though it was in
-    /// touch with them before.
+    /// Whether this balancer appears to be cut off from all agents after it was in contact with
+    /// them.
     pub fn is_isolated(&self, now: Millis) -> bool {
         let is_over = |since: Millis| now.saturating_sub(since) >= ISOLATED_AFTER_MS;
-        let hears_nobody = self.any_heard_at.is_some_and(is_over);
-        let reaches_nobody = self.any_heard_at.is_some()
+        let receives_nothing = self.last_contact_at.is_some_and(is_over);
+        let reaches_no_agent = self.last_contact_at.is_some()
             && self.unanswered >= ISOLATED_OPENINGS
             && self.unanswered_since.is_some_and(is_over);
-        hears_nobody || reaches_nobody
+        receives_nothing || reaches_no_agent
     }
 
-    /// Records a sign of life with how busy the target is.
+    /// Records an agent's answer to a packet, with the load of its target.
     pub fn heard(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
-        status.tell(load, now);
+        status.update_load(load, now);
         status.unanswered_since = None;
-        status.ignored_search_at = None;
-        status.ignored_searches = 0;
+        status.unanswered_search_at = None;
+        status.unanswered_searches = 0;
         status.ended_at = None;
         self.reached(now);
     }
 
-    /// Records an agent's word that its target has room. Unlike an answer to a packet it
-    /// does not show that the target answers.
+    /// Records a grant, with the load of the agent's target. Unlike an answer to a packet, it does
+    /// not show that the target responds.
     pub fn granted(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
-        status.tell(load, now);
+        status.update_load(load, now);
         self.reached(now);
     }
 
-    /// Records an agent's word about its target. Unlike an answer to a packet it
-    /// does not show that the target works.
+    /// Records an agent's report about its target. Unlike an answer to a packet, it does not show
+    /// that the target works.
     pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
-        status.tell(claim.load, now);
+        status.update_load(claim.load, now);
         status.leaving_at = claim.leaving.then_some(now);
-        // Digests that were sent before the last word may come after it.
+        // Digests that were sent before the report that the target ended may arrive after it.
         status.ended_at = status.ended_at.filter(|_| claim.leaving);
         let usable = claim.alive && !claim.leaving;
-        self.claims_seen += u64::from(usable && status.claim.is_none());
+        self.targets_reported += u64::from(usable && status.reported_target.is_none());
         let service = ServiceId::of(&claim.service);
-        status.claim = usable.then_some(Claim { service, zone, said_at: now });
+        status.reported_target =
+            usable.then_some(ReportedTarget { service, zone, received_at: now });
         status.without_former_flows = claim
             .without_former_flows
-            .map(|configuration| WithoutFormerFlows { configuration, said_at: now });
-        self.any_heard_at = Some(now);
+            .map(|configuration| WithoutFormerFlows { configuration, received_at: now });
+        self.last_contact_at = Some(now);
     }
 
-    /// Whether an agent said lately, of this configuration or a later one, that its target
+    /// Whether an agent recently reported, for this configuration or a later one, that its target
     /// holds no flow of a route that does not name its service.
     pub fn holds_no_former_flow(&self, agent: Ipv4Addr, configuration: u64, now: Millis) -> bool {
         let status = self.statuses.get(&agent);
-        status.and_then(|status| status.without_former_flows).is_some_and(|word| {
-            word.configuration >= configuration
-                && now.saturating_sub(word.said_at) < STATUS_LIFETIME_MS
+        status.and_then(|status| status.without_former_flows).is_some_and(|report| {
+            report.configuration >= configuration
+                && now.saturating_sub(report.received_at) < STATUS_LIFETIME_MS
         })
     }
 
-    /// Number of times that an agent's claim was new.
+    /// Returns the number of reports of a live target from agents without such a report before.
     pub fn claims_seen(&self) -> u64 {
-        self.claims_seen
+        self.targets_reported
     }
 
-    /// Records that an agent refused new flows because it stops.
+    /// Records that an agent refused a new flow because it is shutting down.
     pub fn note_leaving(&mut self, agent: Ipv4Addr, now: Millis) {
         self.statuses.entry(agent).or_default().leaving_at = Some(now);
     }
 
-    /// Records that an agent refused a new flow because its target fails.
+    /// Records that an agent refused a new flow because its target is failing.
     pub fn note_failing(&mut self, agent: Ipv4Addr, now: Millis) {
         self.statuses.entry(agent).or_default().failing_at = Some(now);
     }
 
-    /// Whether an agent said lately that its target fails, and meant this life of it.
+    /// Whether an agent recently reported that this incarnation of its target is failing.
     pub fn is_failing(&self, target: &Candidate, now: Millis) -> bool {
-        let said_at = self.statuses.get(&target.agent).and_then(|status| status.failing_at);
-        said_at.is_some_and(|at| !target.is_newer_than(at) && now.saturating_sub(at) < FAILING_MS)
+        let received_at = self.statuses.get(&target.agent).and_then(|status| status.failing_at);
+        received_at
+            .is_some_and(|at| !target.is_newer_than(at) && now.saturating_sub(at) < FAILING_MS)
     }
 
-    /// Whether new flows should pass a target over: its agent is about to stop or left
-    /// opening packets unanswered. Lets one packet through now and then.
+    /// Whether new flows should skip a target because its agent is shutting down or left opening
+    /// packets unanswered. Lets one packet through every `RETRY_MS`.
     pub fn is_suspect(&self, target: &Candidate, now: Millis) -> bool {
         let Some(status) = self.statuses.get(&target.agent) else { return false };
-        let waits_long =
+        let timed_out =
             status.unanswered_since.is_some_and(|since| now.saturating_sub(since) >= UNANSWERED_MS);
-        let rested = now.saturating_sub(status.last_tried) >= RETRY_MS;
+        let may_retry = now.saturating_sub(status.last_tried) >= RETRY_MS;
         let is_leaving = status
             .leaving_at
             .is_some_and(|at| !target.is_newer_than(at) && now.saturating_sub(at) < LEAVING_MS);
-        is_leaving || (waits_long && !rested)
+        is_leaving || (timed_out && !may_retry)
     }
 
-    /// Records that an agent, asked alone, left a searching packet unanswered.
+    /// Records that an agent left unanswered a search packet that was sent to it alone.
     pub fn ignored_search(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
-        status.ignored_search_at = Some(now);
-        status.ignored_searches += 1;
+        status.unanswered_search_at = Some(now);
+        status.unanswered_searches += 1;
     }
 
-    /// Records an agent's last word: its target has ended, and it stops itself.
+    /// Records an agent's report that its target has ended; the agent stops too.
     pub fn target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.ended_at = Some(now);
         status.leaving_at = Some(now);
-        status.claim = None;
+        status.reported_target = None;
     }
 
-    /// Whether a target has ended by its agent's last word. The word is about the target of
-    /// that time: one that was recorded since, at the same address, is another.
+    /// Whether a target has ended according to its agent. The report covers the target of that
+    /// time: a target recorded later at the same address is a different one.
     pub fn has_ended(&self, target: &Candidate) -> bool {
         let ended_at = self.statuses.get(&target.agent).and_then(|status| status.ended_at);
         ended_at.is_some_and(|at| !target.is_newer_than(at))
     }
 
-    /// Whether an agent lately left several searching packets unanswered and answered
-    /// none: a single one may have been lost on its way.
+    /// Whether an agent recently left several search packets unanswered and answered no packet; a
+    /// single search packet may have been lost.
     pub fn is_persistently_mute(&self, agent: Ipv4Addr, now: Millis) -> bool {
-        let ignored = self.statuses.get(&agent).map_or(0, |status| status.ignored_searches);
-        ignored >= PERSISTENTLY_MUTE && self.is_mute(agent, now)
+        let unanswered = self.statuses.get(&agent).map_or(0, |status| status.unanswered_searches);
+        unanswered >= PERSISTENT_UNANSWERED_SEARCHES && self.is_mute(agent, now)
     }
 
-    /// Whether an agent left a searching packet unanswered lately: its target does not
-    /// answer, though the agent itself may say that it does.
+    /// Whether an agent recently left a search packet unanswered: its target does not respond,
+    /// although the agent may report that it does.
     pub fn is_mute(&self, agent: Ipv4Addr, now: Millis) -> bool {
-        let ignored_at = self.statuses.get(&agent).and_then(|status| status.ignored_search_at);
-        ignored_at.is_some_and(|at| now.saturating_sub(at) < MUTE_MS)
+        let unanswered_at =
+            self.statuses.get(&agent).and_then(|status| status.unanswered_search_at);
+        unanswered_at.is_some_and(|at| now.saturating_sub(at) < UNRESPONSIVE_MS)
     }
 
-    /// Requests believed to wait at the agent's target.
+    /// Returns the estimated number of requests waiting at the agent's target.
     pub fn load(&self, agent: Ipv4Addr) -> u32 {
         self.statuses.get(&agent).map_or(0, |status| status.load.waiting + status.sent_since)
     }
 
-    /// How busy the target was when the agent last spoke.
+    /// Returns the load of the agent's target in its latest report.
     pub fn target_load(&self, agent: Ipv4Addr) -> TargetLoad {
         self.statuses.get(&agent).map_or_else(TargetLoad::default, |status| status.load)
     }
 
-    /// Opening packets sent to the agent since it last spoke.
+    /// Returns the number of opening packets sent to the agent since its latest report.
     pub fn sent_since(&self, agent: Ipv4Addr) -> u32 {
         self.statuses.get(&agent).map_or(0, |status| status.sent_since)
     }
 
-    /// What the agent last told of its target's times, if it told any.
+    /// Returns the times that the agent last reported for its target, if it reported any.
     pub fn times(&self, agent: Ipv4Addr, now: Millis) -> Option<ToldTimes> {
         let status = self.statuses.get(&agent)?;
-        let age_ms = now.saturating_sub(status.heard_at);
+        let age_ms = now.saturating_sub(status.reported_at);
         let (expected_ms, service_ms) = status.load.expected_ms.zip(status.load.service_ms)?;
         let wait_ms = expected_ms.saturating_sub(service_ms);
         Some(ToldTimes { service_ms, wait_ms, age_ms })
     }
 
-    /// Milliseconds since the agent was last heard.
+    /// Returns the milliseconds since the agent's latest report; none if there is none.
     pub fn age(&self, agent: Ipv4Addr, now: Millis) -> Option<Millis> {
-        let status = self.statuses.get(&agent).filter(|status| status.heard_at > 0)?;
-        Some(now.saturating_sub(status.heard_at))
+        let status = self.statuses.get(&agent).filter(|status| status.reported_at > 0)?;
+        Some(now.saturating_sub(status.reported_at))
     }
 
-    /// Agents that lately said that a target of this service works beside them.
+    /// Returns the agents with a valid report of a live target of this service, in address order.
     pub fn claimants(&self, service: ServiceId, now: Millis) -> Vec<Ipv4Addr> {
         let is_fresh = |status: &AgentStatus| {
-            status.claim.is_some_and(|claim| claim.service == service && claim.is_fresh(now))
+            status
+                .reported_target
+                .is_some_and(|target| target.service == service && target.is_fresh(now))
         };
         let fresh = self.statuses.iter().filter(|(_, status)| is_fresh(status));
         let mut agents: Vec<Ipv4Addr> = fresh.map(|(agent, _)| *agent).collect();
@@ -309,29 +316,30 @@
         agents
     }
 
-    /// Agents that lately said that a target of a service other than these works beside
-    /// them, each with the service.
+    /// Returns the agents with a valid report of a live target of any service except these, each
+    /// with the service.
     pub fn claimants_outside(
         &self,
         services: &HashSet<ServiceId>,
         now: Millis,
     ) -> Vec<(ServiceId, Ipv4Addr)> {
-        let claims = self.statuses.iter();
-        let claims = claims.filter_map(|(agent, status)| status.claim.map(|claim| (agent, claim)));
-        let outside =
-            claims.filter(|(_, claim)| !services.contains(&claim.service) && claim.is_fresh(now));
-        outside.map(|(agent, claim)| (claim.service, *agent)).collect()
+        let targets = self.statuses.iter();
+        let targets = targets
+            .filter_map(|(agent, status)| status.reported_target.map(|target| (agent, target)));
+        let outside = targets
+            .filter(|(_, target)| !services.contains(&target.service) && target.is_fresh(now));
+        outside.map(|(agent, target)| (target.service, *agent)).collect()
     }
 
-    /// The zone that an agent with a target said it runs in.
+    /// Returns the zone of an agent that reported a live target.
     pub fn claimed_zone(&self, agent: Ipv4Addr) -> Option<ZoneId> {
-        self.statuses.get(&agent)?.claim.map(|claim| claim.zone)
+        self.statuses.get(&agent)?.reported_target.map(|target| target.zone)
     }
 
-    /// Forgets agents that were silent for long.
+    /// Removes agents with which no packet was exchanged for `STATUS_LIFETIME_MS`.
     pub fn expire(&mut self, now: Millis) {
         self.statuses.retain(|_, status| {
-            let latest = status.heard_at.max(status.last_tried);
+            let latest = status.reported_at.max(status.last_tried);
             now.saturating_sub(latest) < STATUS_LIFETIME_MS
         });
     }
--- a/crates/steering/src/arrival.rs
+++ b/crates/steering/src/arrival.rs
@@ -1,4 +1,4 @@
-//! Clients' packets that come to an agent.
+//! Client packets that arrive at an agent.
 
 use std::net::Ipv4Addr;
 
@@ -6,24 +6,25 @@
 
 use crate::packet::PacketHead;
 
-/// A client's packet on its way to the target.
+/// A client packet that a balancer forwarded to an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// The packet's head.
+    /// The packet's header.
     pub head: &'a PacketHead,
-    /// The packet.
+    /// The whole packet.
     pub packet: &'a [u8],
-    /// The balancer that the client's router handed it to.
+    /// The balancer that received it from the client's router.
     pub balancer: Ipv4Addr,
-    /// The service that the balancer meant.
+    /// The service that the balancer forwarded it for.
     pub service: ServiceId,
-    /// Set if it is not known whether the target holds the flow: the agents (IPv4
-    /// addresses) that get the packet in turn if the target sends it back.
+    /// Set for a search packet, when it is not known whether the target holds the flow: the agents
+    /// (IPv4 addresses) that the packet visits next, in order, if the target bounces it.
     pub search: Option<&'a [u32]>,
-    /// Whether an opening packet may wait until the target has room.
+    /// Whether an opening packet may wait until the target has capacity.
     pub may_wait: bool,
-    /// Whether an opening packet goes before others.
+    /// Whether an opening packet goes before non-urgent ones.
     pub urgent: bool,
-    /// Set if an opening packet answers a grant of the agent: what still waits at the balancer.
+    /// Set if an opening packet answers a grant of the agent: the demand that remains at the
+    /// balancer.
     pub granted: Option<OpeningDemand>,
 }
--- a/crates/steering/src/caller_rank.rs
+++ b/crates/steering/src/caller_rank.rs
@@ -1,9 +1,10 @@
-//! Which callers go first when there is no room for all.
+//! Ranks callers, so that overload rejects the same ones everywhere. A caller is a client
+//! identified by its IPv4 address.
 //!
-//! All balancers compute a caller's rank from its address and the time of day, without a
-//! message: who is refused at one is refused at all, so that the tries of a refused caller
-//! do not push out others (as DAGOR's user priority does). The rank moves with each epoch,
-//! and over time every caller has an equal share.
+//! All balancers compute a caller's rank from its address and the time of day, without exchanging
+//! messages: a caller that one balancer rejects is rejected by all, so that its retries do not
+//! displace other callers (like the user priority of DAGOR). Ranks change with each epoch, which
+//! gives every caller an equal share over time.
 
 use std::hash::Hasher;
 use std::net::Ipv4Addr;
@@ -11,47 +12,48 @@
 use siphasher::sip::SipHasher13;
 use weirhinge_fleet::Millis;
 
-/// How long a caller keeps its rank: longer than a refused client takes to use up its
-/// tries, so that the later ones rank as the first did.
+/// How long a caller keeps its rank: longer than a rejected client takes to use up its retries, so
+/// that the later ones get the same rank as the first attempt.
 pub const RANK_EPOCH_MS: Millis = 4_000;
-/// How far a rank moves with each epoch: the range divided by the golden ratio. Whoever is
-/// in the last 0.38 of the range leaves it with the next epoch, and no small number of
-/// epochs leads back to the same rank.
+/// How far a rank moves with each epoch: the range divided by the golden ratio. A caller in the
+/// last 0.38 of the range leaves that part with the next epoch, and no small number of epochs leads
+/// back to the same rank.
 const EPOCH_STEP: u16 = 40_503;
 
-/// Units of the range of ranks of callers that have no more than their share.
-const RANGE: u32 = 1 << 16;
-/// Units behind that range for callers that have more. A wait is allowed to `1 - 0.75 * rank`
-/// of its budget, which is an eighth at their end: a short queue holds up nobody, and is no
-/// reason to refuse a heavy caller.
-const OVER_SHARE: u32 = RANGE / 6;
+/// Number of ranks for callers within their fair share.
+const RANK_RANGE: u32 = 1 << 16;
+/// Number of ranks after that range, for callers over their fair share. An opening may wait for
+/// `1 - 0.75 * rank` of its budget, where `rank` is relative to [`RANK_RANGE`]. At the end of these
+/// ranks that is an eighth, so that a short queue, which delays no other caller, is no reason to
+/// reject a heavy one.
+const OVER_SHARE_RANKS: u32 = RANK_RANGE / 6;
 
-/// A caller's place among the others. Of callers that have no more than their share, 0 is
-/// served first and 65,535 is refused first; those with more come behind.
+/// A caller's position in the order in which callers are served. Within the fair share, 0 is served
+/// first and 65,535 is rejected first; callers over their share come after 65,535.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerRank(u32);
 
 impl CallerRank {
-    /// Who goes before all others.
+    /// The rank that is served before all others.
     pub const SERVED_FIRST: CallerRank = CallerRank(0);
-    /// Who is refused first of those that have no more than their share.
-    pub const REFUSED_FIRST: CallerRank = CallerRank(RANGE - 1);
+    /// The rank that is rejected first among callers within their fair share.
+    pub const REFUSED_FIRST: CallerRank = CallerRank(RANK_RANGE - 1);
 
-    /// The rank in units of a 65,536th of the range.
+    /// Returns the rank as a number; 65,536 is the end of the range within the fair share.
     pub fn value(self) -> u32 {
         self.0
     }
 
-    /// The rank of a caller that has its share so many times already: behind all that have
-    /// it fewer times, and in the order of their ranks among equals.
+    /// Returns the rank of a caller that already uses this many times its fair share. It comes
+    /// after all callers that use fewer, and in the order of the original ranks among equals.
     pub fn with_shares(self, times: u32) -> Self {
         if times == 0 {
             return self;
         }
-        let begin = OVER_SHARE - OVER_SHARE / times;
-        let width = OVER_SHARE / times - OVER_SHARE / times.saturating_add(1);
-        let place = self.0.min(RANGE - 1) / 16 * width / (RANGE / 16);
-        Self(RANGE + begin + place)
+        let begin = OVER_SHARE_RANKS - OVER_SHARE_RANKS / times;
+        let width = OVER_SHARE_RANKS / times - OVER_SHARE_RANKS / times.saturating_add(1);
+        let place = self.0.min(RANK_RANGE - 1) / 16 * width / (RANK_RANGE / 16);
+        Self(RANK_RANGE + begin + place)
     }
 }
 
@@ -61,8 +63,8 @@
     }
 }
 
-/// The rank of a caller at a time of day, in milliseconds since 1970. Each caller's epochs
-/// begin at other times, so that not all ranks change at once.
+/// Returns the rank of a caller at a time of day, in milliseconds since 1970. Epochs of different
+/// callers begin at different times, so that not all ranks change at once.
 pub fn caller_rank(caller: Ipv4Addr, unix_ms: u64) -> CallerRank {
     let hash = caller_hash(caller);
     let base = hash as u16;
@@ -71,7 +73,7 @@
     CallerRank::from(base.wrapping_add((epoch as u16).wrapping_mul(EPOCH_STEP)))
 }
 
-/// A hash that is equal in all daemons.
+/// Hashes a caller's address to the same value in every daemon.
 fn caller_hash(caller: Ipv4Addr) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(caller.to_bits());
--- a/crates/steering/src/class_share.rs
+++ b/crates/steering/src/class_share.rs
@@ -1,10 +1,11 @@
-//! The least share of openings that are not urgent: the same where agents grant room and where
-//! balancers use it.
+//! The minimum share of non-urgent openings, for agents that grant capacity and for balancers that
+//! use the grants.
 
-/// One grant in so many goes to an opening that is not urgent, while both kinds wait.
+/// While both classes wait, one in this many grants goes to a non-urgent opening.
 pub(crate) const OTHERS_ONE_IN: u32 = 8;
 
-/// Whether the next grant is for openings that are not urgent, after so many for urgent ones.
+/// Whether the next grant is for a non-urgent opening, after `urgent_in_row` consecutive grants for
+/// urgent ones.
 pub(crate) fn others_are_due(urgent_in_row: u32) -> bool {
     urgent_in_row >= OTHERS_ONE_IN - 1
 }
--- a/crates/steering/src/flow_table.rs
+++ b/crates/steering/src/flow_table.rs
@@ -1,4 +1,4 @@
-//! A bounded table of the flows that a balancer has seen.
+//! A bounded table of the flows that a balancer knows.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::Ipv4Addr;
@@ -7,64 +7,64 @@
 
 use crate::packet::FlowKey;
 
-/// What a balancer knows about a flow.
+/// The state of a flow at a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowStage {
-    /// An opening packet went to the target; no answer was reported yet.
+    /// The opening packet was sent to the target; no answer was reported yet.
     Opening,
-    /// The opening packet waits here until a target has room.
+    /// The opening packet waits at the balancer until a target has capacity.
     Queued,
-    /// The flow is not known here; its packets look for the target that holds it.
+    /// The balancer does not know which target holds the flow and is searching for it.
     Searching,
-    /// A search ended at no target; the next packet begins another.
+    /// A search found no target that holds the flow; the next packet starts another search.
     Unheld,
-    /// The target holds the flow or answered its opening packet.
+    /// The target holds the flow or has answered its opening packet.
     Held,
 }
 
-/// One flow.
+/// The entry of one flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FlowEntry {
-    /// The agent that the latest packet went to.
+    /// The agent that the latest packet was sent to.
     pub agent: Ipv4Addr,
-    /// What is known.
+    /// The flow's state.
     pub stage: FlowStage,
-    /// When the latest packet of the client came.
+    /// When the latest packet of the client arrived.
     pub used_at: Millis,
-    /// When the current agent was first tried.
+    /// When the packet was first sent to the current agent.
     pub tried_at: Millis,
-    /// Agents whose targets did not take the flow's packets. Empty for nearly all
-    /// flows, and then without an allocation.
+    /// Agents whose targets did not accept the flow's packets. Empty for nearly all flows, and then
+    /// without an allocation.
     pub tried: BTreeSet<Ipv4Addr>,
-    /// The rows of agents that searching packets are visiting now, each in turn.
-    /// Empty while nothing is searched for.
+    /// The paths of agents that search packets are visiting now. Empty while no search is running.
     pub asked: Vec<Vec<Ipv4Addr>>,
-    /// How often the search sent out rows.
+    /// Number of waves of search packets sent so far.
     pub waves: u32,
-    /// Agents of rows that did not come back: any of them may be the silent one.
+    /// Agents of paths from which the search packet did not return: any of them may be the
+    /// unresponsive one.
     pub doubtful: BTreeSet<Ipv4Addr>,
-    /// When a search first found that no target held the flow.
+    /// When a search first found no target that holds the flow.
     pub unheld_since: Option<Millis>,
-    /// Agents that the search asked alone, that did not answer, and whose targets may
-    /// hold the flow.
+    /// Agents that left a search packet sent to them alone unanswered, and whose targets may hold
+    /// the flow.
     pub unanswered: Vec<Ipv4Addr>,
-    /// Whether the opening packet was sent to wait at a target.
+    /// Whether the opening packet was sent with permission to wait at the agent.
     pub has_waited: bool,
-    /// How many agents sent the opening packet back because their targets fail.
+    /// Number of agents that returned the opening packet because their targets are failing.
     pub failing_returns: u32,
-    /// When the client sent the flow's first packet.
+    /// When the flow's first packet arrived.
     pub first_at: Millis,
-    /// When the opening packet began to wait here.
+    /// When the opening packet started to wait at the balancer.
     pub queued_at: Option<Millis>,
-    /// Whether the opening packet was sent for an agent's grant of room.
+    /// Whether the opening packet was sent in answer to an agent's grant.
     pub granted: bool,
-    /// Whether a target that got a copy of the opening packet may still answer it, though
-    /// the packet goes to another one or waits.
+    /// Whether a target that received the opening packet may still answer it although the packet
+    /// has since been sent to another target or waits at the balancer.
     pub may_be_open: bool,
 }
 
 impl FlowEntry {
-    /// An entry for a flow whose packet goes to `agent` for the first time.
+    /// Creates an entry for a flow whose packet is first sent to `agent`.
     pub fn new(agent: Ipv4Addr, stage: FlowStage, now: Millis) -> Self {
         Self {
             agent,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes that an agent's target holds the flow.
+    /// Records that an agent's target holds the flow.
     pub fn hold(&mut self, agent: Ipv4Addr) {
         self.agent = agent;
         self.stage = FlowStage::Held;
@@ -96,26 +96,26 @@
         self.unanswered.clear();
     }
 
-    /// Nobody is asked now; the next search begins with its first wave.
+    /// Resets the progress of the search; the next one starts with its first wave.
     pub fn end_round(&mut self) {
         self.asked.clear();
         self.waves = 0;
         self.doubtful.clear();
     }
 
-    /// Notes that an agent's target did not take the flow, nor did those that the
-    /// packet visited before it. The rest of its row was not asked.
+    /// Records that an agent's target did not accept the flow's packet, nor did the targets that
+    /// the packet visited before it. The agents after it on the path were not asked.
     pub fn note_returned(&mut self, agent: Ipv4Addr) {
-        let row = self.asked.iter().position(|row| row.contains(&agent));
-        let row = row.map(|place| self.asked.swap_remove(place)).unwrap_or_default();
-        let visited = row.into_iter().take_while(|visited| *visited != agent);
+        let path = self.asked.iter().position(|path| path.contains(&agent));
+        let path = path.map(|index| self.asked.swap_remove(index)).unwrap_or_default();
+        let visited = path.into_iter().take_while(|visited| *visited != agent);
         self.tried.extend(visited);
         self.tried.insert(agent);
     }
 }
 
-/// The table. A full one forgets the flow that it would have to search for with
-/// the least harm: any, as a search finds the holder again.
+/// A table of flows by key. A full table evicts an arbitrary flow, since a search can find the
+/// holder of any flow again.
 #[derive(Clone, Debug)]
 pub struct FlowTable {
     flows: HashMap<FlowKey, FlowEntry>,
@@ -123,17 +123,17 @@
 }
 
 impl FlowTable {
-    /// A table of at most `capacity` flows.
+    /// Creates a table of at most `capacity` flows, and at least one.
     pub fn new(capacity: usize) -> Self {
         Self { flows: HashMap::new(), capacity: capacity.max(1) }
     }
 
-    /// The entry of a flow.
+    /// Returns the entry of a flow.
     pub fn get_mut(&mut self, key: &FlowKey) -> Option<&mut FlowEntry> {
         self.flows.get_mut(key)
     }
 
-    /// Agents whose targets did not take a flow's packets.
+    /// Returns the agents whose targets did not accept a flow's packets.
     pub fn tried(&self, key: &FlowKey) -> &BTreeSet<Ipv4Addr> {
         const NONE: &BTreeSet<Ipv4Addr> = &BTreeSet::new();
         self.flows.get(key).map_or(NONE, |entry| &entry.tried)
@@ -142,28 +142,28 @@
     /// Adds or replaces a flow's entry.
     pub fn insert(&mut self, key: FlowKey, entry: FlowEntry) {
         if self.flows.len() >= self.capacity && !self.flows.contains_key(&key) {
-            let victim = self.flows.keys().next().copied();
-            victim.and_then(|victim| self.flows.remove(&victim));
+            let evicted = self.flows.keys().next().copied();
+            evicted.and_then(|evicted| self.flows.remove(&evicted));
         }
         self.flows.insert(key, entry);
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, key: &FlowKey) {
         self.flows.remove(key);
     }
 
-    /// Forgets the flows that rested for longer than `idle_ms`.
+    /// Removes the flows that were idle for longer than `idle_ms`.
     pub fn expire(&mut self, now: Millis, idle_ms: Millis) {
         self.flows.retain(|_, entry| now.saturating_sub(entry.used_at) <= idle_ms);
     }
 
-    /// Number of flows.
+    /// Returns the number of flows.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
 
-    /// Whether no flow is known.
+    /// Whether the table has no flows.
     pub fn is_empty(&self) -> bool {
         self.flows.is_empty()
     }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decides where each packet goes when the targets end the flows themselves.
+//! Steers the packets of flows to the targets of a service.
 //!
-//! Pure logic: packets, messages and times are passed in, decisions come out.
-//! The target is the truth about its flows: it sends back what it does not hold.
-//! A [`Balancer`] picks a target for an opening packet, remembers it, and walks
-//! through the other targets when a packet comes back; an [`Agent`] stands beside
-//! one target, checks that a packet is meant for it, and tells balancers what its
-//! target holds. Nothing here outlives the process, and nothing needs to.
+//! The crate is pure logic: packets, messages and times are passed in, decisions are returned. Only
+//! a target knows for certain which flows it holds; it bounces packets of any other flow. A
+//! [`Balancer`] selects a target for an opening packet, remembers the choice, and searches the
+//! other targets when a packet is returned. An [`Agent`] runs next to one target, checks that each
+//! packet is meant for it, and reports to balancers what the target holds. All state is in memory
+//! and is rebuilt after a restart.
 
 mod agent;
 mod agent_status;
--- a/crates/steering/src/packet.rs
+++ b/crates/steering/src/packet.rs
@@ -1,4 +1,4 @@
-//! The parts of a packet that decisions depend on.
+//! The packet fields that steering decisions depend on.
 
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
@@ -6,26 +6,27 @@
 use siphasher::sip::SipHasher13;
 use weirhinge_fleet::Millis;
 
-/// Opening packets of one flow come within this span; a later one opens another. A client
-/// sends the last copy after 600 ms, and none waits longer than 1.1 s on its way.
+/// The opening packets of one flow arrive within this time; a later one opens another flow. A
+/// client sends the last retransmission after 600 ms, and no packet waits for longer than 1.1 s on
+/// its way.
 pub(crate) const OPENING_SPAN_MS: Millis = 2_000;
 
-/// Why bytes are not a packet.
+/// Why bytes cannot be decoded as a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedPacket {
-    /// Fewer bytes than a head has.
-    #[error("shorter than a packet head")]
+    /// Fewer bytes than a packet header has.
+    #[error("packet is shorter than its header")]
     ShortHead,
-    /// The stated length of the data is not the length of what follows the head.
-    #[error("stated length differs from the data's")]
+    /// The length field differs from the number of bytes after the header.
+    #[error("length field differs from the length of the payload")]
     WrongLength,
-    /// More data than a packet may carry.
-    #[error("more data than a packet may carry")]
+    /// More payload than a packet may carry.
+    #[error("payload exceeds the maximum packet size")]
     Oversized,
 }
 
 impl MalformedPacket {
-    /// Label for counters.
+    /// Returns the label that counters use.
     pub fn label(self) -> &'static str {
         match self {
             MalformedPacket::ShortHead => "short_head",
@@ -35,37 +36,38 @@
     }
 }
 
-/// Control bits of a packet.
+/// Control flags of a packet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
     /// Opens a flow.
     pub syn: bool,
-    /// Acknowledges.
+    /// Acknowledges received data.
     pub ack: bool,
-    /// Ends one direction.
+    /// Closes one direction.
     pub fin: bool,
-    /// Ends the flow at once.
+    /// Aborts the flow.
     pub rst: bool,
-    /// A target sent the packet back.
+    /// The target does not hold the flow and sent the packet back.
     pub bounced: bool,
 }
 
-/// The head of a packet, decoded.
+/// The decoded header of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketHead {
-    /// The sender's end.
+    /// The sender's address and port.
     pub source: SocketAddrV4,
-    /// The receiver's end.
+    /// The receiver's address and port.
     pub destination: SocketAddrV4,
-    /// Control bits.
+    /// Control flags.
     pub flags: Flags,
     /// Sequence number.
     pub sequence: u32,
-    /// Acknowledgment number; on an opening packet, counts its copies.
+    /// Acknowledgment number. On an opening packet, the number of the retransmission; 0 on the
+    /// first transmission.
     pub acknowledgment: u32,
-    /// Bytes of data behind the head.
+    /// Bytes of payload after the header.
     pub length: u16,
-    /// Label that comes back with a bounced packet.
+    /// Label that a bounced packet carries back.
     pub echo: u32,
 }
 
@@ -75,39 +77,39 @@
         self.flags.syn && !self.flags.ack
     }
 
-    /// The flow of a packet that a client wrote.
+    /// Returns the flow of a packet that a client sent.
     pub fn client_flow(&self) -> FlowKey {
         FlowKey { client: self.source, service: self.destination }
     }
 
-    /// The flow of a packet that a target wrote.
+    /// Returns the flow of a packet that a target sent.
     pub fn target_flow(&self) -> FlowKey {
         FlowKey { client: self.destination, service: self.source }
     }
 }
 
-/// What the beginning of a target's answer says about the request.
+/// The outcome of a request, as far as the beginning of the target's answer shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
-    /// The target served it, or found fault with the request itself.
+    /// The target served the request, or rejected it as invalid.
     Good,
-    /// The target failed.
+    /// The target failed to serve the request.
     Failed,
-    /// The target turned it away without running it.
+    /// The target rejected the request without running it.
     NotRun,
 }
 
-/// Identifies a flow by its two ends.
+/// Identifies a flow by its two endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// The client's end.
+    /// The client's address and port.
     pub client: SocketAddrV4,
     /// The address and port that the client connected to.
     pub service: SocketAddrV4,
 }
 
 impl FlowKey {
-    /// A hash that is equal in all daemons.
+    /// Hashes the flow to the same value in every daemon.
     pub fn hash(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         hasher.write_u32(self.client.ip().to_bits());
--- a/crates/steering/src/pending_packets.rs
+++ b/crates/steering/src/pending_packets.rs
@@ -1,4 +1,4 @@
-//! Copies of packets whose way is not known yet.
+//! Buffers copies of packets whose target is not known yet.
 
 use std::collections::HashMap;
 
@@ -6,35 +6,36 @@
 
 use crate::packet::{FlowKey, PacketHead};
 
-/// Most copies kept unless stated otherwise, one a flow: about 600 KB.
+/// Default and maximum number of buffered packets, one per flow: about 600 KB.
 const CAPACITY: usize = 512;
-/// A copy this old is dropped: the client has sent the packet again since, or gave
-/// the attempt up.
+/// Age at which a buffered packet is dropped: by then the client has retransmitted it or given the
+/// attempt up.
 const LIFETIME_MS: Millis = 1_300;
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct BufferedPacket {
     head: PacketHead,
-    packet: Vec<u8>,
-    kept_at: Millis,
-    /// When it is decided about again unless something ends the wait before.
+    bytes: Vec<u8>,
+    buffered_at: Millis,
+    /// When the packet is decided again unless something ends its wait before.
     due_at: Millis,
 }
 
-/// The copies, by flow. The oldest makes room for the newest.
+/// Buffered packets by flow. When the buffer is full, the oldest packet is dropped for a new one.
 #[derive(Clone, Debug)]
 pub struct PendingPackets {
-    copies: HashMap<FlowKey, Copy>,
+    packets: HashMap<FlowKey, BufferedPacket>,
     capacity: usize,
 }
 
 impl PendingPackets {
-    /// Keeps at most `capacity` copies, and at least one.
+    /// Creates a buffer of at most `capacity` packets, and at least one.
     pub fn with_capacity(capacity: usize) -> Self {
-        Self { copies: HashMap::new(), capacity: capacity.clamp(1, CAPACITY) }
+        Self { packets: HashMap::new(), capacity: capacity.clamp(1, CAPACITY) }
     }
 
-    /// Keeps a copy for `wait_ms`, or lets the kept one wait for so long from now.
+    /// Buffers a copy of a packet that is due after `wait_ms`. If the flow already has a packet
+    /// here, that one stays and becomes due after `wait_ms` instead.
     pub fn keep(
         &mut self,
         flow: FlowKey,
@@ -44,57 +45,60 @@
         now: Millis,
     ) {
         let due_at = now + wait_ms;
-        if let Some(copy) = self.copies.get_mut(&flow) {
-            copy.due_at = due_at;
+        if let Some(buffered) = self.packets.get_mut(&flow) {
+            buffered.due_at = due_at;
             return;
         }
-        if self.copies.len() >= self.capacity {
+        if self.packets.len() >= self.capacity {
             self.remove_oldest();
         }
-        let copy = Copy { head: *head, packet: packet.to_vec(), kept_at: now, due_at };
-        self.copies.insert(flow, copy);
+        let buffered =
+            BufferedPacket { head: *head, bytes: packet.to_vec(), buffered_at: now, due_at };
+        self.packets.insert(flow, buffered);
     }
 
     fn remove_oldest(&mut self) {
-        let oldest = self.copies.iter().min_by_key(|(flow, copy)| (copy.kept_at, **flow));
+        let oldest = self.packets.iter().min_by_key(|(flow, packet)| (packet.buffered_at, **flow));
         if let Some(oldest) = oldest.map(|(flow, _)| *flow) {
-            self.copies.remove(&oldest);
+            self.packets.remove(&oldest);
         }
     }
 
-    /// Drops a flow's copy.
+    /// Drops a flow's packet.
     pub fn remove(&mut self, flow: &FlowKey) {
-        self.copies.remove(flow);
+        self.packets.remove(flow);
     }
 
-    /// Whether no copy is kept.
+    /// Whether no packet is buffered.
     pub fn is_empty(&self) -> bool {
-        self.copies.is_empty()
+        self.packets.is_empty()
     }
 
-    /// When the first of the copies is due.
+    /// Returns the time when the first packet is due.
     pub fn next_due(&self) -> Option<Millis> {
-        self.copies.values().map(|copy| copy.due_at).min()
+        self.packets.values().map(|packet| packet.due_at).min()
     }
 
-    /// The packets whose wait is over, the newest first: when there is time for some
-    /// alone, those are the ones that can still be in time. They stay kept for
+    /// Returns the packets that are due, the newest first: if there is time for only some, those
+    /// are the ones that can still be in time. They stay in the buffer and are due again after
     /// another `wait_ms`.
     pub fn take_due(&mut self, now: Millis, wait_ms: Millis) -> Vec<(PacketHead, Vec<u8>)> {
         self.expire(now);
-        let mut due: Vec<&mut Copy> =
-            self.copies.values_mut().filter(|copy| copy.due_at <= now).collect();
-        due.sort_by_key(|copy| (std::cmp::Reverse(copy.kept_at), copy.head.client_flow()));
-        let renewed = due.into_iter().map(|copy| {
-            copy.due_at = now + wait_ms;
-            (copy.head, copy.packet.clone())
+        let mut due: Vec<&mut BufferedPacket> =
+            self.packets.values_mut().filter(|packet| packet.due_at <= now).collect();
+        due.sort_by_key(|packet| {
+            (std::cmp::Reverse(packet.buffered_at), packet.head.client_flow())
+        });
+        let renewed = due.into_iter().map(|packet| {
+            packet.due_at = now + wait_ms;
+            (packet.head, packet.bytes.clone())
         });
         renewed.collect()
     }
 
-    /// Drops the copies that are too old.
+    /// Drops the packets that are too old.
     pub fn expire(&mut self, now: Millis) {
-        self.copies.retain(|_, copy| now.saturating_sub(copy.kept_at) < LIFETIME_MS);
+        self.packets.retain(|_, packet| now.saturating_sub(packet.buffered_at) < LIFETIME_MS);
     }
 }
 
--- a/crates/steering/src/selection.rs
+++ b/crates/steering/src/selection.rs
@@ -8,21 +8,21 @@
 use crate::expected_time::TypicalTimes;
 use crate::view::{Candidate, Distance};
 
-/// Load of a target that is slow from its start, in percent of its load when warm.
+/// Load of a target that is warming up, in percent of its load when warm.
 pub(crate) const COLD_LOAD_PERCENT: u64 = 160;
 
-/// Load, in thousandths of its slots, that a far target is charged with: about the
-/// load at which near ones send openings back.
-const FAR_PERMILLE: u64 = 1_500;
-/// The same for a target of another zone of the region: half a request a slot. What a
-/// balancer knows of loads is that old and rough, and each packet of a flow in its own zone
-/// saves a trip and bytes between zones.
-const OTHER_ZONE_PERMILLE: u64 = 500;
-/// Far targets compared where there are near ones.
-const FAR_COMPARED: usize = 1;
+/// Surcharge for a target in another region, in thousandths of its slots: about the load at which
+/// targets of the own region return opening packets.
+const OTHER_REGION_SURCHARGE_PERMILLE: u64 = 1_500;
+/// Surcharge for a target in another zone of the region: half a request per slot. A balancer's
+/// knowledge of loads is old and rough enough to justify it, and each packet of a flow that stays
+/// in its zone saves a trip and bytes between zones.
+const OTHER_ZONE_SURCHARGE_PERMILLE: u64 = 500;
+/// Targets of other regions that are compared if the own region has any.
+const OTHER_REGION_COMPARED: usize = 1;
 
-/// Mixes a flow's hash with a target into a rank (the finaliser of SplitMix64):
-/// rendezvous hashing, so that a change of targets moves only its own share.
+/// Returns the rendezvous-hashing weight of an agent for a flow, mixed with the finalizer of
+/// SplitMix64. When targets change, only the flows of the changed targets move.
 pub(crate) fn rank(flow_hash: u64, agent: Ipv4Addr) -> u64 {
     let mut value = flow_hash ^ u64::from(agent.to_bits()).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -30,7 +30,7 @@
     value ^ (value >> 31)
 }
 
-/// The candidates in the flow's own order, the same on every balancer.
+/// Returns the candidates in rendezvous order for a flow: the same order on every balancer.
 pub fn rendezvous_order<'a>(
     flow_hash: u64,
     candidates: impl Iterator<Item = &'a Candidate>,
@@ -40,13 +40,13 @@
     order
 }
 
-/// The first of these daemons in the flow's own order.
+/// Returns the first of these daemons in rendezvous order for a flow.
 pub fn rendezvous_first(flow_hash: u64, daemons: &[Ipv4Addr]) -> Option<Ipv4Addr> {
     daemons.iter().copied().max_by_key(|daemon| rank(flow_hash, *daemon))
 }
 
-/// What one more flow costs at each target, by the time in which it is expected to answer
-/// where agents told times, otherwise by load, and by its distance.
+/// The cost of one more flow at each target: the time in which it is expected to answer if agents
+/// reported times, otherwise its load, plus a surcharge for its distance.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetCosts<'a> {
     typical: Option<TypicalTimes>,
@@ -55,30 +55,30 @@
 }
 
 impl<'a> TargetCosts<'a> {
-    /// Costs at targets like those of `order`.
+    /// Prepares the costs of targets, with typical times taken from `order`.
     pub fn new(order: &[Candidate], statuses: &'a AgentStatuses, now: Millis) -> Self {
         Self { typical: TypicalTimes::of(order, statuses, now), statuses, now }
     }
 
-    /// The cost at a target; of equal ones the nearer is cheaper.
+    /// Returns the cost of a target. Equal costs are ordered by distance.
     pub fn cost(&self, candidate: &Candidate) -> (u64, Distance) {
-        let charge = match candidate.distance {
+        let surcharge = match candidate.distance {
             Distance::Zone => 0,
-            Distance::Region => OTHER_ZONE_PERMILLE,
-            Distance::Far => FAR_PERMILLE,
+            Distance::Region => OTHER_ZONE_SURCHARGE_PERMILLE,
+            Distance::Far => OTHER_REGION_SURCHARGE_PERMILLE,
         };
         let cost = match self.typical {
-            Some(typical) => typical.cost(candidate, charge, self.statuses, self.now),
-            None => load_permille(candidate, self.statuses, self.now) + charge,
+            Some(typical) => typical.cost(candidate, surcharge, self.statuses, self.now),
+            None => load_permille(candidate, self.statuses, self.now) + surcharge,
         };
         (cost, candidate.distance)
     }
 }
 
-/// The cheapest of the first `compared` candidates of the region, the first one of the
-/// own zone and the first far one, in the flow's order. One of another zone is chosen
-/// where that of the own zone is busier by a margin, a far one only where the others are
-/// busy: every packet of the flow would cross zones or regions.
+/// Returns the cheapest of the first `compared` candidates of the region, the first one of the own
+/// zone and the first one of another region, in the flow's order. A target of another zone is
+/// selected only if that of the own zone is busier by a margin, one of another region only if the
+/// others are busy, since every packet of the flow would cross zones or regions.
 pub fn cheapest(
     order: &[Candidate],
     compared: usize,
@@ -89,12 +89,12 @@
     let own = order.iter().find(|candidate| candidate.distance == Distance::Zone);
     let far = order.iter().filter(|candidate| candidate.distance == Distance::Far);
     let any_near = order.iter().any(|candidate| candidate.distance != Distance::Far);
-    let far = far.take(if any_near { FAR_COMPARED } else { compared });
+    let far = far.take(if any_near { OTHER_REGION_COMPARED } else { compared });
     let costs = TargetCosts::new(order, statuses, now);
     near.chain(own).chain(far).min_by_key(|candidate| costs.cost(candidate)).copied()
 }
 
-/// Believed load in thousandths of the target's slots.
+/// Returns the estimated load in thousandths of the target's slots.
 pub fn load_permille(candidate: &Candidate, statuses: &AgentStatuses, now: Millis) -> u64 {
     let waiting = u64::from(statuses.load(candidate.agent));
     let load = waiting * 1_000 / u64::from(candidate.slots);
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -1,4 +1,4 @@
-//! Routes and targets in the form that decisions are made from.
+//! Routes and targets, compiled from a replica of the store for fast lookups.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -8,16 +8,16 @@
     ZoneId,
 };
 
-/// A configuration's version and the store revision that wrote it, for logs.
+/// A configuration's version and the store revision that wrote it, as shown in log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionLabel {
-    /// The operator's version.
+    /// The version that the operator gave it.
     pub version: u64,
     /// The store's revision.
     pub revision: u64,
 }
 
-/// Where a route sends its new flows.
+/// A route in the form that decisions use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteChoice {
     parts: Vec<(ServiceId, u32)>,
@@ -25,66 +25,66 @@
     urgent: bool,
     objective_ms: Option<Millis>,
     timeout_ms: Option<Millis>,
-    /// Regions that its packets must not leave; none if they may go anywhere.
+    /// Regions that the route's packets must not leave; none if they may go anywhere.
     permitted_regions: Option<HashSet<RegionId>>,
 }
 
 impl RouteChoice {
-    /// The service for a flow with this hash; each part gets its weight's share
-    /// of all hashes. None if no part has a weight.
+    /// Returns the service for a flow with this hash; each part gets its weight's share of all
+    /// hashes. None if no part has a weight.
     pub fn pick(&self, flow_hash: u64) -> Option<ServiceId> {
         let total: u64 = self.parts.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        // The high half of the hash: the low bits choose the target.
-        let mut place = (flow_hash >> 32).checked_rem(total)?;
+        // Uses the high half of the hash, because the low bits select the target.
+        let mut remainder = (flow_hash >> 32).checked_rem(total)?;
         for (service, weight) in &self.parts {
-            match place.checked_sub(u64::from(*weight)) {
+            match remainder.checked_sub(u64::from(*weight)) {
                 None => return Some(*service),
-                Some(rest) => place = rest,
+                Some(rest) => remainder = rest,
             }
         }
         None
     }
 
-    /// Whether the route's requests go before those of another route of its service.
+    /// Whether the route has a higher priority than another route to one of its services.
     pub fn is_urgent(&self) -> bool {
         self.urgent
     }
 
-    /// Milliseconds within which callers expect an answer, if the route states them.
+    /// Returns the milliseconds within which callers expect an answer, if the route states them.
     pub fn objective_ms(&self) -> Option<Millis> {
         self.objective_ms
     }
 
-    /// Milliseconds after which callers give up, if the route states them.
+    /// Returns the milliseconds after which callers give up, if the route states them.
     pub fn timeout_ms(&self) -> Option<Millis> {
         self.timeout_ms
     }
 
-    /// Whether packets of the route may go to a daemon in this region; one whose region is
-    /// not known counts as outside.
+    /// Whether packets of the route may go to a daemon in this region. An unknown region is not
+    /// permitted if the route names regions.
     pub fn allows(&self, region: Option<RegionId>) -> bool {
         let Some(allowed) = &self.permitted_regions else { return true };
         region.is_some_and(|region| allowed.contains(&region))
     }
 
-    /// All services of the route.
+    /// Returns all services of the route.
     pub fn services(&self) -> impl Iterator<Item = ServiceId> {
         self.parts.iter().map(|(service, _)| *service)
     }
 }
 
-/// What the store says about a target.
+/// Whether a target accepts new flows, according to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Its record left the store at this time without a word of leaving.
+    /// Its record was removed from the store at this time without being marked as draining before.
     Vanished(Millis),
-    /// Takes no new flows but keeps its open ones.
+    /// Draining: accepts no new flows but keeps its open ones.
     Leaving,
 }
 
-/// How far a target is from this daemon.
+/// The distance of a target from this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same zone.
@@ -95,7 +95,7 @@
     Far,
 }
 
-/// Which zones lie in this daemon's region.
+/// This daemon's zone and region, and the regions of all zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Locality {
     zone: String,
@@ -104,35 +104,36 @@
 }
 
 impl Locality {
-    /// The locality of a daemon in `zone`.
+    /// Creates the locality of a daemon in `zone` and `region`.
     pub fn new(zone: String, region: String, regions_by_zone: HashMap<String, String>) -> Self {
         Self { zone, region, regions_by_zone }
     }
 
-    /// The region of a zone, if known.
+    /// Returns the region of a zone, if known.
     fn region_of(&self, zone: &str) -> Option<RegionId> {
         self.regions_by_zone.get(zone).map(|region| RegionId::of(region))
     }
 
-    /// The daemon's own region.
+    /// Returns the daemon's own region.
     pub fn own_region(&self) -> RegionId {
         RegionId::of(&self.region)
     }
 
-    /// Whether a zone is in the daemon's region. One of no known region is taken to be.
+    /// Whether a zone is in the daemon's region. A zone without a known region is assumed to be.
     pub fn shares_region(&self, zone: ZoneId) -> bool {
         let mut regions = self.regions_by_zone.iter();
         let region = regions.find(|(name, _)| ZoneId::of(name) == zone);
         region.is_none_or(|(_, region)| *region == self.region)
     }
 
-    /// The region of each known zone.
+    /// Returns the region of each known zone.
     pub fn regions(&self) -> HashMap<ZoneId, RegionId> {
         let regions = self.regions_by_zone.iter();
         regions.map(|(zone, region)| (ZoneId::of(zone), RegionId::of(region))).collect()
     }
 
-    /// How far a zone is. One of no known region is taken to be in the daemon's.
+    /// Returns the distance of a zone. A zone without a known region is assumed to be in the
+    /// daemon's.
     fn distance(&self, zone: &str) -> Distance {
         if zone == self.zone {
             return Distance::Zone;
@@ -145,37 +146,37 @@
 /// One target of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The target's machine, where its agent listens.
+    /// The address of the target's machine, where its agent listens.
     pub agent: Ipv4Addr,
-    /// What the store says about it.
+    /// Whether it accepts new flows, according to the store.
     pub standing: Standing,
-    /// Whether the store still has its record.
+    /// Whether its record is still in the store.
     pub recorded: bool,
-    /// Whether its zone is evacuated: it keeps its open flows and gets no new ones.
+    /// Whether its zone is evacuated: the target keeps its open flows and gets no new ones.
     pub evacuated: bool,
-    /// Requests that it works on at once, at least 1.
+    /// Number of requests that it serves concurrently, at least 1.
     pub slots: u32,
-    /// Until when it is slow from its start.
+    /// When it has warmed up; until then it is slower.
     pub cold_until: Millis,
-    /// Which life of the target this is, if it tells.
+    /// The target's incarnation, if its record states one.
     pub incarnation: Option<u64>,
-    /// How far it is.
+    /// Its distance from this daemon.
     pub distance: Distance,
     /// Its region, if known.
     pub region: Option<RegionId>,
-    /// When this daemon learned of its record's latest change.
+    /// When this daemon received the latest change of its record.
     pub learned_at: Millis,
 }
 
 impl Candidate {
-    /// Whether its record says that it takes new flows, and came after a time: then what
-    /// was said before that time was about an earlier target at the address.
+    /// Whether the target's current record, as ready, was received after this time. Reports that
+    /// were received before then are about an earlier target at the same address.
     pub fn is_newer_than(&self, time: Millis) -> bool {
         self.standing == Standing::Ready && self.recorded && self.learned_at > time
     }
 }
 
-/// Everything that routing decisions need, compiled from a replica.
+/// All data about the fleet that steering decisions need, compiled from a replica.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     routes: HashMap<SocketAddrV4, RouteChoice>,
@@ -189,7 +190,7 @@
 }
 
 impl FleetView {
-    /// Compiles what a replica knows.
+    /// Compiles the data of a replica.
     pub fn compile(replica: &Replica, locality: &Locality) -> Self {
         let services = compile_services(replica, locality);
         let evacuated = replica.evacuated().iter().map(ZoneId::of).collect();
@@ -222,27 +223,28 @@
         view
     }
 
-    /// The configuration that the view was made from; none before the first.
+    /// Returns the version of the configuration that the view was compiled from; none before the
+    /// first one.
     pub fn label(&self) -> Option<VersionLabel> {
         self.label
     }
 
-    /// Milliseconds after which a resting flow may be forgotten.
+    /// Returns the milliseconds after which an idle flow may be forgotten.
     pub fn idle_timeout_ms(&self) -> Option<Millis> {
         self.idle_timeout_ms
     }
 
-    /// The route of an address and port.
+    /// Returns the route of an address and port.
     pub fn route(&self, endpoint: SocketAddrV4) -> Option<&RouteChoice> {
         self.routes.get(&endpoint)
     }
 
-    /// The known targets of a service.
+    /// Returns the known targets of a service, in address order.
     pub fn candidates(&self, service: ServiceId) -> &[Candidate] {
         self.services.get(&service).map_or(&[], Vec::as_slice)
     }
 
-    /// The known targets of all services but these, each with its service.
+    /// Returns the known targets of all services except these, each with its service.
     pub fn targets_outside<'a>(
         &'a self,
         services: &'a HashSet<ServiceId>,
@@ -253,51 +255,52 @@
         })
     }
 
-    /// The known target beside an agent, with its service.
+    /// Returns the known target of an agent, with its service.
     pub fn target_beside(&self, agent: Ipv4Addr) -> Option<(ServiceId, &Candidate)> {
         self.services.iter().find_map(|(service, candidates)| {
-            let place = candidates.binary_search_by_key(&agent, |candidate| candidate.agent);
-            place.ok().map(|place| (*service, &candidates[place]))
+            let index = candidates.binary_search_by_key(&agent, |candidate| candidate.agent);
+            index.ok().map(|index| (*service, &candidates[index]))
         })
     }
 
-    /// Each route's address and port with each service that it names.
+    /// Returns each route's address and port with each service that the route names.
     pub fn route_services(&self) -> impl Iterator<Item = (SocketAddrV4, ServiceId)> {
         let routes = self.routes.iter();
         routes.flat_map(|(endpoint, route)| route.services().map(|service| (*endpoint, service)))
     }
 
-    /// The region of a zone, if known.
+    /// Returns the region of a zone, if known.
     pub fn region_of(&self, zone: ZoneId) -> Option<RegionId> {
         self.regions.get(&zone).copied()
     }
 
-    /// Whether a route's packets may be handed to other balancers of this daemon's region.
+    /// Whether packets to this address and port may be handed to other balancers of this daemon's
+    /// region.
     pub fn allows_own_region(&self, endpoint: SocketAddrV4) -> bool {
         self.route(endpoint).is_none_or(|route| route.allows(self.own_region))
     }
 
-    /// How the targets of a service start, if the configuration says so.
+    /// Returns the cold-start policy of a service, if the configuration has one.
     pub fn cold_start(&self, service: ServiceId) -> Option<&ColdStartPolicy> {
         self.cold_starts.get(&service)
     }
 
-    /// Whether the targets of a zone are to get no new flows.
+    /// Whether a zone is evacuated, so that its targets get no new flows.
     pub fn is_evacuated(&self, zone: ZoneId) -> bool {
         self.evacuated.contains(&zone)
     }
 
-    /// Number of evacuated zones.
+    /// Returns the number of evacuated zones.
     pub fn evacuated_count(&self) -> usize {
         self.evacuated.len()
     }
 
-    /// Number of targets known, of all services.
+    /// Returns the number of known targets of all services.
     pub fn target_count(&self) -> usize {
         self.services.values().map(Vec::len).sum()
     }
 
-    /// The agents of all known targets of routed services.
+    /// Returns the agents of all known targets of routed services.
     pub fn agents(&self) -> Vec<Ipv4Addr> {
         let routed: HashSet<ServiceId> =
             self.routes.values().flat_map(RouteChoice::services).collect();
@@ -306,7 +309,7 @@
     }
 }
 
-/// Marks the routes that share a service with a less urgent one.
+/// Marks the routes that share a service with a route of lower priority as urgent.
 fn mark_urgent_routes(routes: &mut HashMap<SocketAddrV4, RouteChoice>) {
     let mut least_urgent: HashMap<ServiceId, u32> = HashMap::new();
     for route in routes.values() {
@@ -321,9 +324,9 @@
     }
 }
 
-/// Targets by service; of several records of one machine the newest counts, as
-/// an address that was used again belongs to its new user alone. One that names no service
-/// of a route displaces none that does: it may be of another writer.
+/// Returns the targets by service. Of several records of one machine the newest counts, because a
+/// reused address belongs only to its new target. A record of a service that no route names does
+/// not replace a record of a routed service, as another system may have written it.
 fn compile_services(replica: &Replica, locality: &Locality) -> HashMap<ServiceId, Vec<Candidate>> {
     let routes = replica.configuration().map(|known| known.configuration.routes.iter());
     let parts = routes.into_iter().flatten().flat_map(|route| &route.parts);
@@ -357,7 +360,7 @@
     services
 }
 
-/// How long the targets of a service are slow after their start or their zone's return.
+/// Returns how long the targets of a service are slower after their start or their zone's return.
 fn cold_ms_of(replica: &Replica, service: &str) -> Millis {
     let policies = replica.configuration().map(|known| &known.configuration.cold_starts);
     let policy = policies.into_iter().flatten().find(|policy| policy.service == service);
--- a/crates/steering/src/waiting_room.rs
+++ b/crates/steering/src/waiting_room.rs
@@ -1,4 +1,4 @@
-//! Opening packets that wait until the target has room.
+//! Opening packets that wait at an agent until its target has capacity.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -8,36 +8,37 @@
 use crate::arrival::Arrival;
 use crate::packet::{FlowKey, PacketHead};
 
-/// Most opening packets that wait for room.
+/// Maximum number of waiting opening packets.
 const CAPACITY: usize = 128;
 /// Longest wait of an opening packet. The client gives an attempt up after 1.4 s.
-const LONGEST_WAIT_MS: Millis = 1_100;
+const MAX_WAIT_MS: Millis = 1_100;
 
-/// An opening packet that waited for room.
+/// An opening packet that waits, or has waited, for capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitedOpening {
-    /// The packet's head.
+    /// The packet's header.
     pub head: PacketHead,
-    /// The packet.
+    /// The whole packet.
     pub packet: Vec<u8>,
-    /// The balancer that sent it.
+    /// The balancer that forwarded it.
     pub balancer: Ipv4Addr,
     urgent: bool,
     arrived_at: Millis,
 }
 
-/// The waiting packets, first ones before copies, the newest last.
+/// The waiting packets, in reverse order of service within each class: retransmissions first, the
+/// newest packet last.
 ///
-/// The newest goes first: when not all can be in time, some are (adaptive LIFO), and
-/// requests on flows that are open already never stand behind it. Urgent ones go
-/// before all others.
+/// The newest packet is served first: when not all can be in time, some are (adaptive LIFO), and
+/// requests on flows that are already open do not wait behind these packets. Urgent packets are
+/// served before all others.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingRoom {
     openings: VecDeque<WaitedOpening>,
 }
 
 impl WaitingRoom {
-    /// Whether a flow's opening packet waits.
+    /// Whether a flow's opening packet is waiting.
     pub fn has(&self, flow: &FlowKey) -> bool {
         self.openings.iter().any(|opening| opening.head.client_flow() == *flow)
     }
@@ -47,8 +48,8 @@
         self.openings.retain(|opening| opening.head.client_flow() != *flow);
     }
 
-    /// Lets a packet wait. Returns the one that makes room for it, if there is none:
-    /// the one that would go last, and so most likely never.
+    /// Adds a packet. If the limit is reached, removes and returns the packet that would be served
+    /// last, and so most likely never.
     pub fn add(&mut self, arrival: &Arrival<'_>, now: Millis) -> Option<WaitedOpening> {
         let displaced = if self.openings.len() >= CAPACITY { self.take_last() } else { None };
         let opening = WaitedOpening {
@@ -58,7 +59,7 @@
             urgent: arrival.urgent,
             arrived_at: now,
         };
-        // A copy belongs to a flow that is late already.
+        // A retransmission belongs to a flow that is already late.
         if arrival.head.acknowledgment > 0 {
             self.openings.push_front(opening);
         } else {
@@ -68,36 +69,36 @@
     }
 
     fn take_last(&mut self) -> Option<WaitedOpening> {
-        let place = self.openings.iter().position(|opening| !opening.urgent).unwrap_or(0);
-        self.openings.remove(place)
+        let index = self.openings.iter().position(|opening| !opening.urgent).unwrap_or(0);
+        self.openings.remove(index)
     }
 
-    /// Takes out any packet, the newest first.
+    /// Removes and returns any packet, the newest first.
     pub fn take_any(&mut self) -> Option<WaitedOpening> {
         self.openings.pop_back()
     }
 
-    /// Takes out a packet that waited too long.
+    /// Removes and returns a packet that has waited for too long.
     pub fn take_over(&mut self, now: Millis) -> Option<WaitedOpening> {
-        let is_over =
-            |opening: &WaitedOpening| now.saturating_sub(opening.arrived_at) >= LONGEST_WAIT_MS;
-        let place = self.openings.iter().position(is_over)?;
-        self.openings.remove(place)
+        let has_timed_out =
+            |opening: &WaitedOpening| now.saturating_sub(opening.arrived_at) >= MAX_WAIT_MS;
+        let index = self.openings.iter().position(has_timed_out)?;
+        self.openings.remove(index)
     }
 
-    /// Takes out the packet that goes first, if there is room for it; `has_room`
-    /// tells that for an urgent one and for any other.
-    pub fn take_first(&mut self, has_room: impl Fn(bool) -> bool) -> Option<WaitedOpening> {
-        let place = self.first()?;
-        if !has_room(self.openings[place].urgent) {
+    /// Removes and returns the packet to be served next, if there is capacity for it:
+    /// `has_capacity` returns that for urgent packets (`true`) and for others (`false`).
+    pub fn take_first(&mut self, has_capacity: impl Fn(bool) -> bool) -> Option<WaitedOpening> {
+        let index = self.first()?;
+        if !has_capacity(self.openings[index].urgent) {
             return None;
         }
-        self.openings.remove(place)
+        self.openings.remove(index)
     }
 
-    /// Whether the packet that goes first is urgent; none if no packet waits.
+    /// Whether the packet to be served next is urgent; none if no packet waits.
     pub fn first_is_urgent(&self) -> Option<bool> {
-        self.first().map(|place| self.openings[place].urgent)
+        self.first().map(|index| self.openings[index].urgent)
     }
 
     fn first(&self) -> Option<usize> {
