--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -50,12 +50,12 @@
         self.urgent
     }
 
-    /// Returns the milliseconds within which callers expect an answer, if the route states them.
+    /// Returns the milliseconds within which clients expect an answer, if the route states them.
     pub fn objective_ms(&self) -> Option<Millis> {
         self.objective_ms
     }
 
-    /// Returns the milliseconds after which callers give up, if the route states them.
+    /// Returns the milliseconds after which clients give up, if the route states them.
     pub fn timeout_ms(&self) -> Option<Millis> {
         self.timeout_ms
     }
--- a/crates/steering/tests/former_services.rs
+++ b/crates/steering/tests/former_services.rs
@@ -1,4 +1,5 @@
-//! A flow stays at its target when its route no longer names the target's service.
+//! Flows stay at their target when their route no longer names the target's service, and searches
+//! find them there.
 
 mod support;
 
@@ -13,11 +14,11 @@
 use weirhinge_steering::{Decision, DropReason, ResetReason};
 
 const THIRD: &str = "charts";
-const PORTS: std::ops::Range<u16> = 0..200;
+const CLIENT_PORTS: std::ops::Range<u16> = 0..200;
 
-/// Targets 1 to 4 of the service that a route names throughout, 11 to 14 of one that comes
-/// and goes.
-fn two_services() -> Store {
+/// Targets 1 to 4 of a service that the route always names, 11 to 14 of one that is removed from
+/// it.
+fn store_with_two_services() -> Store {
     let mut store = Store::with_targets(4);
     for number in 11..=14 {
         store.target(number, OTHER, Some(TargetState::Ready), 0);
@@ -25,19 +26,19 @@
     store
 }
 
-/// Opens flows while the route names both services. Returns those at the second one's.
-fn opened_at_other(store: &mut Store) -> Vec<(u16, Ipv4Addr)> {
+/// Opens flows while the route names both services. Returns those at targets of the second one.
+fn open_flows_at_other(store: &mut Store) -> Vec<(u16, Ipv4Addr)> {
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
     let mut fixture = Fixture::new(store);
-    let opened = PORTS.map(|port| (port, fixture.open(port, LATER)));
-    let at_other: Vec<(u16, Ipv4Addr)> =
+    let opened = CLIENT_PORTS.map(|port| (port, fixture.open(port, LATER)));
+    let flows_at_other: Vec<(u16, Ipv4Addr)> =
         opened.filter(|(_, holder)| holder.octets()[3] > 10).collect();
-    assert!(at_other.len() > 50, "{}", at_other.len());
-    at_other
+    assert!(flows_at_other.len() > 50, "{}", flows_at_other.len());
+    flows_at_other
 }
 
-/// Follows a flow's packet through all rows, and lets all but the holder send it back.
-/// Returns the agents asked and the last decision.
+/// Searches for the holder of a flow; all other targets bounce the packet. Returns the agents asked
+/// and the last decision.
 fn search(
     fixture: &mut Fixture,
     port: u16,
@@ -47,13 +48,16 @@
     let mut asked = BTreeSet::new();
     let mut decision = fixture.client(&data(flow(port)), now);
     while let Decision::Forward(_) = &decision {
-        let row_list = rows(&decision);
-        assert!(row_list.iter().flatten().all(|agent| asked.insert(*agent)), "asked twice");
-        if row_list.iter().flatten().any(|agent| holder == Some(*agent)) {
+        let asked_paths = rows(&decision);
+        assert!(
+            asked_paths.iter().flatten().all(|agent| asked.insert(*agent)),
+            "an agent was asked twice"
+        );
+        if asked_paths.iter().flatten().any(|agent| holder == Some(*agent)) {
             return (asked, decision);
         }
-        for row in row_list {
-            let last = *row.last().expect("no row is empty");
+        for path in asked_paths {
+            let last = *path.last().expect("paths are not empty");
             decision = fixture.bounced(&data(flow(port)), last, now);
         }
     }
@@ -63,26 +67,29 @@
 fn assert_found(fixture: &mut Fixture, flows: &[(u16, Ipv4Addr)], now: u64) {
     for (port, holder) in flows {
         let (asked, end) = search(fixture, *port, Some(*holder), now);
-        assert!(asked.contains(holder), "{port}: {holder} among {asked:?}, then {end:?}");
+        assert!(
+            asked.contains(holder),
+            "port {port}: expected {holder} among {asked:?}, then {end:?}"
+        );
         fixture.balancer.holds(flow(*port), *holder, true, 0, now);
         assert_eq!(forwarded(&fixture.client(&data(flow(*port)), now + 1)).agent, *holder);
     }
 }
 
 #[test]
-fn a_balancer_that_comes_later_finds_flows_of_a_service_that_left_the_route() {
-    let mut store = two_services();
-    let flows = opened_at_other(&mut store);
+fn flows_of_removed_service_are_found_by_new_balancer() {
+    let mut store = store_with_two_services();
+    let flows = open_flows_at_other(&mut store);
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
     assert_found(&mut fixture, &flows, LATER + 10);
 }
 
 #[test]
-fn it_finds_them_whatever_takes_the_place_of_the_service() {
+fn flows_of_removed_service_are_found_with_any_new_route_parts() {
     for parts in [&[(THIRD, 1)][..], &[(SERVICE, 1), (OTHER, 0)][..], &[][..]] {
-        let mut store = two_services();
-        let flows = opened_at_other(&mut store);
+        let mut store = store_with_two_services();
+        let flows = open_flows_at_other(&mut store);
         store.route(parts);
         let mut fixture = Fixture::new(&store);
         assert_found(&mut fixture, &flows, LATER + 10);
@@ -90,10 +97,10 @@
 }
 
 #[test]
-fn it_finds_them_at_targets_that_leave_or_have_left_the_store() {
+fn flows_of_removed_service_are_found_at_draining_and_removed_targets() {
     for state in [Some(TargetState::Draining), None] {
-        let mut store = two_services();
-        let flows = opened_at_other(&mut store);
+        let mut store = store_with_two_services();
+        let flows = open_flows_at_other(&mut store);
         store.route(&[(SERVICE, 1)]);
         for number in 11..=14 {
             store.target(number, OTHER, state, LATER + 5);
@@ -104,9 +111,9 @@
 }
 
 #[test]
-fn it_finds_them_in_an_evacuated_zone() {
-    let mut store = two_services();
-    let flows = opened_at_other(&mut store);
+fn flows_of_removed_service_are_found_in_evacuated_zone() {
+    let mut store = store_with_two_services();
+    let flows = open_flows_at_other(&mut store);
     store.route(&[(SERVICE, 1)]);
     store.evacuate(&["a"], LATER + 5);
     let mut fixture = Fixture::new(&store);
@@ -114,9 +121,9 @@
 }
 
 #[test]
-fn it_finds_them_after_the_service_returned() {
-    let mut store = two_services();
-    let flows = opened_at_other(&mut store);
+fn flows_are_found_after_service_is_added_again() {
+    let mut store = store_with_two_services();
+    let flows = open_flows_at_other(&mut store);
     store.route(&[(SERVICE, 1)]);
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
     let mut fixture = Fixture::new(&store);
@@ -124,7 +131,7 @@
 }
 
 #[test]
-fn it_finds_them_at_targets_that_only_their_agents_speak_of() {
+fn flows_of_removed_service_are_found_at_unrecorded_targets() {
     let mut store = Store::with_targets(4);
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
@@ -134,11 +141,12 @@
 }
 
 #[test]
-fn a_balancer_that_knows_a_flow_goes_on_without_a_search() {
-    let mut store = two_services();
+fn known_flow_needs_no_search_after_route_change() {
+    let mut store = store_with_two_services();
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
     let mut fixture = Fixture::new(&store);
-    let flows: Vec<(u16, Ipv4Addr)> = PORTS.map(|port| (port, fixture.open(port, LATER))).collect();
+    let flows: Vec<(u16, Ipv4Addr)> =
+        CLIENT_PORTS.map(|port| (port, fixture.open(port, LATER))).collect();
     store.route(&[(SERVICE, 1)]);
     fixture.view = store.view();
     for (port, holder) in flows {
@@ -148,12 +156,12 @@
 }
 
 #[test]
-fn targets_of_services_that_the_route_names_are_asked_before_all_others() {
-    let mut store = two_services();
+fn targets_of_named_services_are_asked_first() {
+    let mut store = store_with_two_services();
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
     let named: BTreeSet<Ipv4Addr> = (1..=4).map(agent).collect();
-    for port in PORTS {
+    for port in CLIENT_PORTS {
         let first = fixture.client(&data(flow(port)), LATER);
         let asked: BTreeSet<Ipv4Addr> = rows(&first).into_iter().flatten().collect();
         assert_eq!(asked, named);
@@ -161,8 +169,8 @@
 }
 
 #[test]
-fn a_flow_that_nobody_holds_is_reset_after_the_further_targets_sent_it_back_too() {
-    let mut store = two_services();
+fn flow_without_holder_is_reset_after_all_services_are_searched() {
+    let mut store = store_with_two_services();
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
     let (asked, end) = search(&mut fixture, 1, None, LATER);
@@ -173,14 +181,14 @@
 }
 
 #[test]
-fn a_further_target_that_does_not_answer_is_asked_again_before_the_flow_is_given_up() {
+fn unresponsive_target_of_other_service_is_asked_again() {
     let mut store = Store::with_targets(1);
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     let mut fixture = Fixture::new(&store);
     fixture.balancer.heard(agent(11), 0, LATER - 100);
     fixture.client(&data(flow(1)), LATER);
-    let further = fixture.bounced(&data(flow(1)), agent(1), LATER + 1);
-    assert_eq!(rows(&further), [vec![agent(11)]]);
+    let next_decision = fixture.bounced(&data(flow(1)), agent(1), LATER + 1);
+    assert_eq!(rows(&next_decision), [vec![agent(11)]]);
     for step in 1..=10 {
         let decision = fixture.search_again(&data(flow(1)), LATER + 1 + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }), "step {step}: {decision:?}");
@@ -194,9 +202,9 @@
     assert_eq!(rows(&asked), [vec![agent(11)]]);
 }
 
-/// Such an entry is of another writer; without this each lost flow would wait for it.
+/// Another system wrote such an entry. The search must not wait for its agent before each reset.
 #[test]
-fn an_entry_whose_agent_nobody_ever_heard_does_not_hold_up_the_reset() {
+fn agent_never_heard_from_does_not_delay_reset() {
     let mut store = Store::with_targets(1);
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     let mut fixture = Fixture::new(&store);
@@ -207,23 +215,23 @@
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }), "{end:?}");
 }
 
-/// The address belongs to a target of a third service by then.
+/// By then the address belongs to a target of a third service.
 #[test]
-fn new_flows_of_the_route_stay_away_from_targets_of_other_services() {
-    let mut store = two_services();
+fn new_flows_avoid_targets_of_removed_services() {
+    let mut store = store_with_two_services();
     store.route(&[(SERVICE, 1), (OTHER, 1)]);
     store.route(&[(SERVICE, 1)]);
     store.target(11, OTHER, None, LATER);
     store.target_at(11, THIRD, "third-11", LATER + 1);
     let mut fixture = Fixture::new(&store);
-    for port in PORTS {
+    for port in CLIENT_PORTS {
         let chosen = forwarded(&fixture.client(&opening(flow(port)), LATER + 10)).agent;
         assert!(chosen.octets()[3] <= 4, "{chosen}");
     }
 }
 
 #[test]
-fn further_targets_are_asked_in_the_permitted_regions_only() {
+fn search_of_other_services_stays_in_permitted_regions() {
     let mut store = Store::default();
     let permitted_regions = vec!["near".to_owned()];
     store.configure(vec![Route { permitted_regions, ..route_to(endpoint(), SERVICE, 2) }]);
@@ -236,9 +244,9 @@
 }
 
 #[test]
-fn a_flow_of_a_dropped_route_is_reset_at_once() {
-    let mut store = two_services();
-    let flows = opened_at_other(&mut store);
+fn flow_of_removed_route_is_reset_immediately() {
+    let mut store = store_with_two_services();
+    let flows = open_flows_at_other(&mut store);
     store.configure(Vec::new());
     let mut fixture = Fixture::new(&store);
     let end = fixture.client(&data(flow(flows[0].0)), LATER + 10);
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! No state is absorbing: once faults end, every balancer is ready and every target gets
-//! new flows again, whatever happened before.
+//! No state is permanent: once faults end, every balancer is ready and every target gets new flows
+//! again, regardless of earlier events.
 
 mod support;
 
@@ -8,25 +8,25 @@
 use weirhinge_fleet::{Millis, ReturnReason, ZoneId};
 use weirhinge_steering::{AgentStatuses, Decision, OverloadMonitor, PeerLoad};
 
-/// Agents of the model.
+/// Number of agents in the model.
 const AGENTS: u8 = 5;
-/// Time between an agent's digests.
+/// Interval between an agent's digests.
 const DIGEST_MS: Millis = 500;
-/// Time between looks at a balancer's reach.
-const LOOK_MS: Millis = 100;
-/// Within this time after the last fault everything serves again.
+/// Interval between checks of a balancer's connectivity.
+const CHECK_MS: Millis = 100;
+/// Time after the last fault within which everything is in service again.
 const RECOVERED_MS: Millis = 4_000;
 
-/// Something that happens to a balancer while faults last.
+/// An event at a balancer while faults last.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A client opens a flow; no answer comes.
+    /// A client opens a flow, and no answer arrives.
     Opening(u16),
     /// An agent answered a packet.
     Heard(u8),
-    /// An agent said something of its target.
+    /// An agent reported its target, and whether the agent is shutting down.
     Claimed(u8, bool),
-    /// An agent sent an opening back.
+    /// An agent returned an opening packet.
     Returned(u8, ReturnReason),
     /// Time passes.
     Passes(Millis),
@@ -50,7 +50,7 @@
     prop::collection::vec(event, 0..120)
 }
 
-fn play(fixture: &mut Fixture, event: Event, now: &mut Millis) {
+fn apply_event(fixture: &mut Fixture, event: Event, now: &mut Millis) {
     match event {
         Event::Opening(port) => {
             fixture.client(&opening(flow(port)), *now);
@@ -63,17 +63,17 @@
         Event::Returned(number, reason) => {
             fixture.returned(&opening(flow(9_999)), agent(number), reason, *now);
         }
-        Event::Passes(span) => *now += span,
+        Event::Passes(elapsed_ms) => *now += elapsed_ms,
     }
 }
 
-/// Agents speak and answer probes again; routers send nothing to a balancer that is not
-/// ready. Returns whether it is ready in the end.
-fn recovers(fixture: &mut Fixture, mut now: Millis) -> bool {
+/// All agents send digests and answer probes again, while routers send nothing to a balancer that
+/// is not ready. Returns whether the balancer is ready in the end.
+fn is_ready_after_recovery(fixture: &mut Fixture, mut now: Millis) -> bool {
     let end = now + RECOVERED_MS;
     while now < end {
-        now += LOOK_MS;
-        if now % DIGEST_MS < LOOK_MS {
+        now += CHECK_MS;
+        if now % DIGEST_MS < CHECK_MS {
             for number in 1..=AGENTS {
                 fixture.claimed(agent(number), now);
             }
@@ -85,22 +85,25 @@
     !fixture.balancer.is_isolated(now)
 }
 
-/// Balancers once stayed not ready for ever: only an answer to a packet of a client ended
-/// that, and routers hand none to a balancer that is not ready.
+/// If only an answer to a client's packet ended the isolation, the balancer would stay not ready
+/// forever, because routers send no packets to a balancer that is not ready.
 #[test]
-fn a_balancer_that_was_cut_off_is_ready_again_without_a_client() {
+fn isolated_balancer_recovers_without_client_packets() {
     let mut fixture = Fixture::new(&Store::with_targets(AGENTS));
     fixture.claimed(agent(1), LATER);
     for port in 0..30 {
         fixture.client(&opening(flow(port)), LATER);
     }
     fixture.claimed(agent(1), LATER + 800);
-    assert!(fixture.balancer.is_isolated(LATER + 800), "heard but not answered");
-    assert!(recovers(&mut fixture, LATER + 800));
+    assert!(
+        fixture.balancer.is_isolated(LATER + 800),
+        "digests arrive, but opening packets are not answered"
+    );
+    assert!(is_ready_after_recovery(&mut fixture, LATER + 800));
 }
 
 #[test]
-fn an_answer_to_a_probe_says_that_agents_are_reached() {
+fn probe_answer_ends_isolation() {
     let mut statuses = AgentStatuses::default();
     statuses.claimed(agent(1), ZoneId::of("a"), &claim(SERVICE), 0);
     for _ in 0..8 {
@@ -115,13 +118,13 @@
 
 proptest! {
     #[test]
-    fn every_balancer_is_ready_and_every_target_chosen_again(events in events()) {
+    fn balancer_and_all_targets_recover_after_any_events(events in events()) {
         let mut fixture = Fixture::new(&Store::with_targets(AGENTS));
         let mut now = LATER;
         for event in events {
-            play(&mut fixture, event, &mut now);
+            apply_event(&mut fixture, event, &mut now);
         }
-        prop_assert!(recovers(&mut fixture, now));
+        prop_assert!(is_ready_after_recovery(&mut fixture, now));
         now += RECOVERED_MS;
         let mut chosen = std::collections::BTreeSet::new();
         for port in 3_000..3_200 {
@@ -133,19 +136,19 @@
         prop_assert_eq!(chosen.len(), usize::from(AGENTS));
     }
 
-    /// Withdrawals end, however often they followed each other.
+    /// Withdrawals end, regardless of how often they followed each other.
     #[test]
-    fn an_overloaded_balancer_returns_when_its_load_is_gone(
-        looks in prop::collection::vec((0..200u64, 0..8usize, 0..8usize), 0..300),
+    fn withdrawn_balancer_returns_when_load_is_gone(
+        samples in prop::collection::vec((0..200u64, 0..8usize, 0..8usize), 0..300),
     ) {
         let mut monitor = OverloadMonitor::default();
         let mut now = 0;
-        for (wait, keeping_up, overloaded) in looks {
-            now += LOOK_MS;
+        for (wait, keeping_up, overloaded) in samples {
+            now += CHECK_MS;
             monitor.look(wait, PeerLoad { keeping_up, overloaded }, now);
         }
         for _ in 0..=80 {
-            now += LOOK_MS;
+            now += CHECK_MS;
             monitor.look(0, PeerLoad { keeping_up: 5, overloaded: 0 }, now);
         }
         prop_assert!(!monitor.is_withdrawn() && !monitor.is_overloaded());
--- a/crates/steering/tests/search.rs
+++ b/crates/steering/tests/search.rs
@@ -1,4 +1,4 @@
-//! The search for the target that holds a flow, and who does it.
+//! Searches for the target that holds a flow, and their handoff to other balancers.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use weirhinge_steering::{Decision, DropReason, ForwardReason, ResetReason};
 
 #[test]
-fn an_unknown_flow_is_looked_for_at_every_target_once() {
+fn search_asks_every_target_once() {
     let mut store = Store::with_targets(7);
     store.target(3, SERVICE, Some(TargetState::Draining), 0);
     let mut fixture = Fixture::new(&store);
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn balancers_look_for_a_flow_first_where_another_would_open_it() {
+fn search_begins_where_other_balancers_open_flows() {
     let store = Store::with_targets(7);
-    let mut found_early = 0;
+    let mut found_within_two = 0;
     for port in 0..200 {
-        let held = Fixture::new(&store).open(port, LATER);
+        let holder = Fixture::new(&store).open(port, LATER);
         let mut other = Fixture::new(&store);
         let first = forwarded(&other.client(&data(flow(port)), LATER)).agent;
         let second = forwarded(&other.bounced(&data(flow(port)), first, LATER)).agent;
-        found_early += usize::from(held == first || held == second);
+        found_within_two += usize::from(holder == first || holder == second);
     }
-    assert_eq!(found_early, 200);
+    assert_eq!(found_within_two, 200);
 }
 
 #[test]
-fn a_found_flow_is_remembered() {
+fn found_flow_is_remembered() {
     let mut fixture = Fixture::new(&Store::with_targets(5));
     let first = forwarded(&fixture.client(&data(flow(1)), LATER)).agent;
     let second = forwarded(&fixture.bounced(&data(flow(1)), first, LATER)).agent;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_flow_is_given_up_a_while_after_all_targets_sent_it_back() {
+fn flow_is_reset_after_delay_when_all_targets_bounce_it() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let head = data(flow(1));
     let (_, end) = fixture.bounce_to_the_end(&head, LATER);
@@ -58,10 +58,10 @@
     assert_eq!(decision, Decision::Reset { sequence: head.acknowledgment, reason });
 }
 
-/// Those asked before are not asked again: a target that sent a packet back does not
-/// hold its flow, and never will.
+/// Targets asked before are not asked again: a target that bounced a packet does not hold its flow,
+/// and never will.
 #[test]
-fn a_target_that_becomes_known_meanwhile_is_asked_before_a_flow_is_given_up() {
+fn new_target_is_asked_before_flow_is_reset() {
     let mut store = Store::with_targets(3);
     let mut fixture = Fixture::new(&store);
     let head = data(flow(1));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn nothing_is_given_up_on_old_knowledge() {
+fn flow_is_not_reset_on_stale_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     fixture.fresh = false;
     let head = data(flow(1));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_flow_is_found_in_the_other_part_after_weights_changed() {
+fn search_asks_targets_of_parts_without_weight() {
     let mut store = Store::with_targets(2);
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     store.route(&[(SERVICE, 0), (OTHER, 1)]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn searches_go_on_without_the_client() {
+fn search_continues_without_further_client_packets() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let head = data(flow(1));
     let first = forwarded(&fixture.client(&head, LATER)).agent;
@@ -105,44 +105,44 @@
     assert_eq!(due, vec![(head, b"packet".to_vec())]);
     let next = fixture.search_again(&head, LATER + 130);
     let others = rows(&next).concat().into_iter().find(|agent| *agent != first);
-    let found = others.expect("the search goes on past the first");
+    let found = others.expect("the search continues with other targets");
     fixture.balancer.holds(flow(1), found, true, 0, LATER + 131);
     assert!(fixture.balancer.due_searches(LATER + 400).is_empty());
 }
 
 #[test]
-fn a_searching_packet_visits_eight_targets_before_it_comes_back() {
+fn search_packet_visits_eight_targets() {
     let mut fixture = Fixture::new(&Store::with_targets(20));
     let head = data(flow(1));
     let first = path(&fixture.client(&head, LATER));
     assert_eq!(first.len(), 8);
-    // A further packet goes the same way.
+    // A further packet takes the same path.
     assert_eq!(path(&fixture.client(&head, LATER + 1)), first);
-    // The others are asked at the same time, eight in turn.
-    let second = rows(&fixture.bounced(&head, first[7], LATER + 10));
-    assert_eq!(second.iter().map(Vec::len).collect::<Vec<_>>(), [8, 4]);
-    let mut asked = [first, second.concat()].concat();
+    // The other targets are asked at the same time, on paths of eight.
+    let second_wave = rows(&fixture.bounced(&head, first[7], LATER + 10));
+    assert_eq!(second_wave.iter().map(Vec::len).collect::<Vec<_>>(), [8, 4]);
+    let mut asked = [first, second_wave.concat()].concat();
     assert_eq!(asked.len(), 20);
     asked.sort();
     asked.dedup();
-    assert_eq!(asked.len(), 20, "nobody is asked twice");
+    assert_eq!(asked.len(), 20, "no target is asked twice");
 }
 
 #[test]
-fn a_search_of_several_rows_goes_on_when_all_came_back() {
+fn search_continues_after_all_paths_returned() {
     let mut fixture = Fixture::new(&Store::with_targets(20));
     let head = data(flow(1));
     let first = path(&fixture.client(&head, LATER));
-    let second = rows(&fixture.bounced(&head, first[7], LATER + 10));
-    let waits = Decision::Drop(DropReason::SearchGoesOn);
-    assert_eq!(fixture.client(&head, LATER + 11), waits, "further packets wait");
-    assert_eq!(fixture.bounced(&head, second[1][3], LATER + 12), waits);
-    let end = fixture.bounced(&head, second[0][7], LATER + 13);
+    let second_wave = rows(&fixture.bounced(&head, first[7], LATER + 10));
+    let continues = Decision::Drop(DropReason::SearchGoesOn);
+    assert_eq!(fixture.client(&head, LATER + 11), continues, "further packets wait");
+    assert_eq!(fixture.bounced(&head, second_wave[1][3], LATER + 12), continues);
+    let end = fixture.bounced(&head, second_wave[0][7], LATER + 13);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
 }
 
 #[test]
-fn a_pressed_balancer_hands_unknown_flows_to_one_helper_each() {
+fn overloaded_balancer_hands_each_unknown_flow_to_one_helper() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let known = fixture.open(1, LATER);
     let helpers = [agent(101), agent(102)];
@@ -158,26 +158,26 @@
     chosen.sort();
     chosen.dedup();
     assert_eq!(chosen, helpers);
-    // With the time for it again, the flow is searched for here.
+    // Without helpers, the balancer searches for the flow itself.
     assert!(matches!(fixture.client(&data(flow(2)), LATER + 3), Decision::Forward(_)));
 }
 
 #[test]
-fn a_search_asks_the_own_region_first_and_then_all_others() {
+fn search_asks_own_region_first() {
     let mut fixture = Fixture::new(&two_groups());
     let (visited, _) = fixture.bounce_to_the_end(&data(flow(1)), LATER);
     let far: Vec<bool> = visited.into_iter().map(is_far).collect();
     assert_eq!(far, [false, false, false, true, true, true]);
 }
 
-/// After a total loss each flow meets this wait: it has to leave room for the request
-/// within a client's objective.
+/// After a loss of all flows, every client waits for this time: it has to leave enough of the
+/// client's latency objective for the request itself.
 #[test]
-fn a_flow_that_nobody_holds_is_given_up_soon() {
+fn flow_without_holder_is_reset_soon() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let head = data(flow(1));
     fixture.bounce_to_the_end(&head, LATER);
-    let due_at = fixture.balancer.next_due().expect("the packet is kept");
+    let due_at = fixture.balancer.next_due().expect("the packet is buffered");
     assert!(due_at <= LATER + 40, "{} ms", due_at - LATER);
     assert_eq!(fixture.balancer.due_searches(due_at), vec![(head, b"packet".to_vec())]);
     let decision = fixture.search_again(&head, due_at);
@@ -186,10 +186,10 @@
 }
 
 #[test]
-fn a_search_on_old_knowledge_does_not_hurry() {
+fn search_waits_longer_on_stale_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     fixture.fresh = false;
     fixture.bounce_to_the_end(&data(flow(1)), LATER);
-    let due_at = fixture.balancer.next_due().expect("the packet is kept");
+    let due_at = fixture.balancer.next_due().expect("the packet is buffered");
     assert!(due_at >= LATER + 100, "{} ms", due_at - LATER);
 }
--- a/crates/steering/tests/search_past_silence.rs
+++ b/crates/steering/tests/search_unresponsive.rs
@@ -1,4 +1,4 @@
-//! Searches that meet targets which do not answer.
+//! Searches that ask unresponsive targets.
 
 mod support;
 
@@ -11,17 +11,17 @@
 use weirhinge_steering::{Decision, DropReason, ResetReason};
 
 #[test]
-fn a_target_that_does_not_answer_may_hold_the_flow() {
+fn unresponsive_target_may_hold_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let head = data(flow(1));
-    let silent = forwarded(&fixture.client(&head, LATER)).agent;
+    let unresponsive = forwarded(&fixture.client(&head, LATER)).agent;
     let mut now = LATER;
     for _ in 0..20 {
         now += 130;
         let mut decision = fixture.search_again(&head, now);
         while let Decision::Forward(forward) = &decision {
             let from = forward.agent;
-            if from == silent {
+            if from == unresponsive {
                 break;
             }
             decision = fixture.bounced(&head, from, now);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_silent_target_that_left_the_store_does_not_hold_a_flow_up_for_ever() {
+fn unresponsive_removed_target_does_not_prevent_reset() {
     let mut store = Store::with_targets(2);
     store.target(2, SERVICE, None, 0);
     let mut fixture = Fixture::new(&store);
@@ -52,33 +52,32 @@
         now += 130;
         decision = fixture.search_again(&head, now);
     }
-    panic!("never given up");
+    panic!("the flow was not reset");
 }
 
-/// Each round once asked all targets again, 109 of them for the sake of one.
+/// Otherwise each round would ask all targets again, for example 109 of them because of one.
 #[test]
-fn only_targets_that_did_not_answer_are_asked_again() {
+fn only_unresponsive_targets_are_asked_again() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let head = data(flow(1));
-    let silent = path(&fixture.client(&head, LATER))[1];
-    for row in rows(&fixture.search_again(&head, LATER + 130)) {
-        if row != [silent] {
-            fixture.bounced(&head, row[0], LATER + 131);
+    let unresponsive = path(&fixture.client(&head, LATER))[1];
+    for path in rows(&fixture.search_again(&head, LATER + 130)) {
+        if path != [unresponsive] {
+            fixture.bounced(&head, path[0], LATER + 131);
         }
     }
     let end = fixture.search_again(&head, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    assert_eq!(rows(&fixture.search_again(&head, LATER + 390)), vec![vec![silent]]);
-    let found = fixture.balancer.holds(flow(1), silent, true, 0, LATER + 400);
+    assert_eq!(rows(&fixture.search_again(&head, LATER + 390)), vec![vec![unresponsive]]);
+    let found = fixture.balancer.holds(flow(1), unresponsive, true, 0, LATER + 400);
     assert_eq!(found, None);
-    assert_eq!(forwarded(&fixture.client(&head, LATER + 401)).agent, silent);
+    assert_eq!(forwarded(&fixture.client(&head, LATER + 401)).agent, unresponsive);
 }
 
-/// After a loss of power an agent came back whose target had left for good. The agent
-/// was heard, its target answered nothing, and lost flows were not given up for as long
-/// as the agent lived.
+/// After a power loss, an agent may restart while its target is gone for good. The agent sends
+/// digests and its target answers nothing; lost flows must still be reset while that agent lives.
 #[test]
-fn a_target_without_a_record_that_answers_nothing_does_not_hold_flows_up() {
+fn unresponsive_unrecorded_target_does_not_delay_resets() {
     let mut store = Store::with_targets(3);
     store.target(3, SERVICE, Some(TargetState::Draining), LATER - 9_000);
     store.target(3, SERVICE, None, LATER - 3_000);
@@ -86,33 +85,33 @@
     let mut outcomes = Vec::new();
     for port in [1, 2] {
         let head = data(flow(port));
-        let began = LATER + u64::from(port) * 1_000;
-        let mut now = began;
+        let began_at = LATER + u64::from(port) * 1_000;
+        let mut now = began_at;
         let mut decision = fixture.client(&head, now);
         while !matches!(decision, Decision::Reset { .. }) {
-            assert!(now < began + 1_000, "not given up");
+            assert!(now < began_at + 1_000, "the flow was not reset");
             fixture.claimed(agent(3), now);
             let asked = match &decision {
                 Decision::Forward(_) => rows(&decision),
                 _ => Vec::new(),
             };
-            for row in asked.iter().filter(|row| !row.contains(&agent(3))) {
-                decision = fixture.bounced(&head, row[row.len() - 1], now);
+            for path in asked.iter().filter(|path| !path.contains(&agent(3))) {
+                decision = fixture.bounced(&head, path[path.len() - 1], now);
             }
             if !matches!(decision, Decision::Reset { .. }) {
-                now = fixture.balancer.next_due().expect("the packet is kept").max(now);
+                now = fixture.balancer.next_due().expect("the packet is buffered").max(now);
                 decision = fixture.search_again(&head, now);
             }
         }
-        outcomes.push(now - began);
+        outcomes.push(now - began_at);
     }
-    assert!(outcomes[0] >= 300, "given up after one unanswered packet: {outcomes:?} ms");
-    assert!(outcomes[1] < 50, "the second flow does not ask it at all: {outcomes:?} ms");
+    assert!(outcomes[0] >= 300, "reset after one unanswered packet: {outcomes:?} ms");
+    assert!(outcomes[1] < 50, "the search for the second flow should not ask it: {outcomes:?} ms");
 }
 
-/// One that has its record may only stand still.
+/// A target with a record may only be paused.
 #[test]
-fn a_recorded_target_that_answers_nothing_may_hold_the_flow() {
+fn unresponsive_recorded_target_may_hold_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
     let head = data(flow(1));
     fixture.client(&head, LATER);
@@ -123,9 +122,9 @@
     }
 }
 
-/// A target that left without a word serves on for many seconds.
+/// A target that was removed from the store without draining still serves for many seconds.
 #[test]
-fn a_target_without_a_record_that_answers_others_may_hold_the_flow() {
+fn responsive_unrecorded_target_may_hold_the_flow() {
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER - 3_000);
     let mut fixture = Fixture::new(&store);
@@ -139,84 +138,84 @@
 }
 
 #[test]
-fn after_a_silence_each_target_is_asked_alone() {
+fn targets_of_timed_out_path_are_asked_alone() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let head = data(flow(1));
     let asked = path(&fixture.client(&head, LATER));
     let again = rows(&fixture.search_again(&head, LATER + 130));
-    let alone: Vec<Vec<Ipv4Addr>> = asked.iter().map(|agent| vec![*agent]).collect();
-    assert_eq!(again, alone);
+    let single_agent_paths: Vec<Vec<Ipv4Addr>> = asked.iter().map(|agent| vec![*agent]).collect();
+    assert_eq!(again, single_agent_paths);
 }
 
 #[test]
-fn the_row_of_a_silent_target_does_not_hold_up_the_others_of_it() {
+fn timed_out_path_identifies_the_unresponsive_target() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let head = data(flow(1));
-    let silent = path(&fixture.client(&head, LATER))[1];
+    let unresponsive = path(&fixture.client(&head, LATER))[1];
     let mut now = LATER + 130;
-    for row in rows(&fixture.search_again(&head, now)) {
-        if row != [silent] {
+    for path in rows(&fixture.search_again(&head, now)) {
+        if path != [unresponsive] {
             now += 1;
-            fixture.bounced(&head, row[0], now);
+            fixture.bounced(&head, path[0], now);
         }
     }
-    // The silent one is put down as such, and asked last by the next flow.
+    // The unresponsive target is identified as such, and asked last for the next flow.
     let end = fixture.search_again(&head, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    assert!(!path(&fixture.client(&data(flow(2)), LATER + 300)).contains(&silent));
+    assert!(!path(&fixture.client(&data(flow(2)), LATER + 300)).contains(&unresponsive));
 }
 
-/// An agent once claimed a target that said nothing and had no record. The silence in
-/// a row was put down to the first agent, whose target may hold flows, and no flow was
-/// given up for three seconds.
+/// An agent reports a target that is unresponsive and has no record. If the timeout of a path were
+/// attributed to the path's first agent, whose target may hold flows, no flow would be reset for
+/// three seconds.
 #[test]
-fn a_claimed_target_that_says_nothing_does_not_hold_flows_up() {
+fn unresponsive_reported_target_does_not_delay_resets() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
-    let mute = agent(9);
-    fixture.claimed(mute, LATER - 500);
+    let unresponsive = agent(9);
+    fixture.claimed(unresponsive, LATER - 500);
     let mut outcomes = Vec::new();
     for port in [1, 2] {
         let head = data(flow(port));
         let mut now = LATER + u64::from(port) * 1_000;
-        let began = now;
+        let began_at = now;
         let mut decision = fixture.client(&head, now);
         while !matches!(decision, Decision::Reset { .. }) {
-            assert!(now < began + 900, "not given up after {} ms", now - began);
+            assert!(now < began_at + 900, "not reset after {} ms", now - began_at);
             let asked = match &decision {
                 Decision::Forward(_) => rows(&decision),
                 _ => Vec::new(),
             };
-            for row in asked.iter().filter(|row| !row.contains(&mute)) {
-                decision = fixture.bounced(&head, row[row.len() - 1], now);
+            for path in asked.iter().filter(|path| !path.contains(&unresponsive)) {
+                decision = fixture.bounced(&head, path[path.len() - 1], now);
             }
-            let is_held_up = asked.iter().any(|row| row.contains(&mute));
-            if is_held_up || !matches!(decision, Decision::Forward(_) | Decision::Reset { .. }) {
-                now = fixture.balancer.next_due().expect("the packet is kept").max(now);
+            let timed_out = asked.iter().any(|path| path.contains(&unresponsive));
+            if timed_out || !matches!(decision, Decision::Forward(_) | Decision::Reset { .. }) {
+                now = fixture.balancer.next_due().expect("the packet is buffered").max(now);
                 decision = fixture.search_again(&head, now);
             }
         }
-        outcomes.push(now - began);
+        outcomes.push(now - began_at);
     }
-    // The second flow does not ask it at all.
-    assert!(outcomes[1] < 50, "given up after {outcomes:?} ms");
+    // The search for the second flow does not ask it.
+    assert!(outcomes[1] < 50, "flows were reset after {outcomes:?} ms");
 }
 
 #[test]
-fn a_silent_target_is_asked_alone_and_last() {
+fn unresponsive_target_is_asked_alone_and_last() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    let silent = forwarded(&fixture.client(&opening(flow(9)), LATER)).agent;
+    let unresponsive = forwarded(&fixture.client(&opening(flow(9)), LATER)).agent;
     let now = LATER + 200;
     let asked = path(&fixture.client(&data(flow(1)), now));
     assert_eq!(asked.len(), 3);
-    assert!(!asked.contains(&silent));
+    assert!(!asked.contains(&unresponsive));
     let last = fixture.bounced(&data(flow(1)), asked[2], now);
-    assert_eq!(path(&last), vec![silent]);
+    assert_eq!(path(&last), vec![unresponsive]);
 }
 
-/// Each target that ended once held the first flows that each balancer searched for up by
-/// some 350 ms: its agent had ended too, and nothing told that from a lost packet.
+/// When a target has ended, its agent has ended too, which looks like packet loss. Without the
+/// report, the first searches of each balancer would be delayed by about 350 ms.
 #[test]
-fn a_target_whose_agent_said_that_it_ended_is_not_asked() {
+fn ended_target_is_not_asked() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
     fixture.balancer.target_ended(agent(2), LATER);
     let head = data(flow(1));
@@ -225,42 +224,42 @@
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
     let end = fixture.search_again(&data(flow(2)), LATER + 25);
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }));
-    // Openings pass it over as well.
+    // New flows skip it as well.
     let chosen =
         |fixture: &mut Fixture, port| forwarded(&fixture.client(&opening(flow(port)), LATER)).agent;
     assert!((100..200).all(|port| chosen(&mut fixture, port) != agent(2)));
 }
 
 #[test]
-fn an_agent_that_speaks_again_is_asked_again() {
+fn agent_is_asked_again_after_new_report() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let asked = |fixture: &mut Fixture, port| {
         let head = data(flow(port));
         let mut decision = fixture.client(&head, LATER + 200);
         let mut asked = Vec::new();
         while let Decision::Forward(_) = decision {
-            let row = path(&decision);
-            decision = fixture.bounced(&head, row[row.len() - 1], LATER + 200);
-            asked.extend(row);
+            let path = path(&decision);
+            decision = fixture.bounced(&head, path[path.len() - 1], LATER + 200);
+            asked.extend(path);
         }
         asked.contains(&agent(2))
     };
     fixture.balancer.target_ended(agent(2), LATER);
-    // A digest that the agent sent before its last word, and that came after it.
+    // A digest that the agent sent before its final report, and that arrives after it.
     let leaving = TargetClaim { leaving: true, ..claim(SERVICE) };
     fixture.balancer.claimed(agent(2), ZoneId::of("a"), &leaving, LATER + 1);
     assert!(!asked(&mut fixture, 1));
     fixture.claimed(agent(2), LATER + 100);
-    assert!(asked(&mut fixture, 2), "its next process has started");
+    assert!(asked(&mut fixture, 2), "the agent's next process has started");
     fixture.balancer.target_ended(agent(2), LATER);
     fixture.balancer.heard(agent(2), 0, LATER + 150);
     assert!(asked(&mut fixture, 3));
 }
 
-/// Another target may start at the address before a balancer hears of its agent, which in a
-/// large fleet takes a while: it gets new flows, and its flows are found.
+/// Another target may start at the address before a balancer receives a report from its agent,
+/// which takes a while in a large fleet. It gets new flows, and its flows are found.
 #[test]
-fn the_last_word_about_a_target_says_nothing_of_the_next_one_at_its_address() {
+fn ended_report_does_not_apply_to_next_target_at_address() {
     let mut store = Store::with_targets(2);
     let mut fixture = Fixture::new(&store);
     fixture.balancer.target_ended(agent(2), LATER);
@@ -275,7 +274,7 @@
 }
 
 #[test]
-fn the_word_that_an_agent_stops_is_forgotten_though_its_next_process_is_not_heard() {
+fn shutdown_report_expires_without_new_report() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let head = opening(flow(9_999));
     fixture.returned(&head, agent(2), ReturnReason::Leaving, LATER);
--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -1,4 +1,4 @@
-//! A balancer between clients and targets that a test answers for.
+//! A balancer whose clients and targets are played by the test.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 
 use super::{SERVICE, Store, agent, claim, flow, forwarded, opening};
 
-/// Long after the start, when nothing is unsettled.
+/// A time long after the start, when all settling times are over.
 pub const LATER: u64 = 100_000;
 
 pub struct Fixture {
@@ -25,14 +25,14 @@
         Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 }
     }
 
-    /// The balancer, and what it decides from beside its own state.
+    /// Returns the balancer and the context of its decisions.
     fn parts(&mut self, now: u64) -> (&mut Balancer, Context<'_>) {
         let context =
             Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 };
         (&mut self.balancer, context)
     }
 
-    /// Decides about a client's packet without the time for unknown flows.
+    /// Decides a client's packet while helpers take over unknown flows.
     pub fn pressed(&mut self, head: &PacketHead, helpers: &[Ipv4Addr], now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
         let context = Context { helpers, ..context };
@@ -44,7 +44,7 @@
         balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
     }
 
-    /// An agent sends a packet back that it got without a grant.
+    /// An agent returns a packet that was sent without a grant.
     pub fn returned(
         &mut self,
         head: &PacketHead,
@@ -55,7 +55,7 @@
         self.returned_of(head, from, reason, false, now)
     }
 
-    /// An agent sends an opening packet back that it got with a grant.
+    /// An agent returns an opening packet that was sent for a grant.
     pub fn returned_granted(
         &mut self,
         head: &PacketHead,
@@ -83,7 +83,7 @@
         self.returned(head, from, ReturnReason::Bounced, now)
     }
 
-    /// An agent in zone `a` says that a target of the service works beside it.
+    /// An agent in zone `a` reports a live target of the service.
     pub fn claimed(&mut self, agent: Ipv4Addr, now: u64) {
         self.balancer.claimed(agent, ZoneId::of("a"), &claim(SERVICE), now);
     }
@@ -103,27 +103,28 @@
         balancer.decide_again(&context, ClientPacket { head, bytes: b"packet" })
     }
 
-    /// Opens a flow and lets the chosen target answer.
+    /// Opens a flow, and the selected target answers. Returns its agent.
     pub fn open(&mut self, port: u16, now: u64) -> Ipv4Addr {
         let chosen = forwarded(&self.client(&opening(flow(port)), now)).agent;
         self.balancer.holds(flow(port), chosen, false, 0, now);
         chosen
     }
 
-    /// Bounces a packet until the balancer no longer forwards it.
+    /// Bounces a packet until the balancer no longer forwards it. Returns the agents visited and
+    /// the last decision.
     pub fn bounce_to_the_end(&mut self, head: &PacketHead, now: u64) -> (Vec<Ipv4Addr>, Decision) {
         let mut visited = Vec::new();
         let mut decision = self.client(head, now);
         while let Decision::Forward(forward) = &decision {
             visited.push(forward.agent);
-            assert!(visited.len() < 100, "the walk ends");
-            decision = self.bounced(head, *visited.last().expect("pushed"), now);
+            assert!(visited.len() < 100, "the search does not end");
+            decision = self.bounced(head, *visited.last().expect("an agent was pushed"), now);
         }
         (visited, decision)
     }
 }
 
-/// Six targets, half of them in another zone, which some views take for another region.
+/// Six targets, half of them in zone `b`, which some views place in another region.
 pub fn two_groups() -> Store {
     let mut store = Store::with_targets(3);
     for number in 51..=53 {
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet for tests of decisions.
+//! A small fleet for tests of steering decisions.
 
 #![allow(dead_code, unused_imports)]
 
@@ -29,7 +29,7 @@
     Ipv4Addr::new(10, 0, 0, number)
 }
 
-/// The agents of a fleet of many targets.
+/// An agent of a large fleet.
 pub fn many_agent(number: u32) -> Ipv4Addr {
     Ipv4Addr::from_bits(Ipv4Addr::new(10, 1, 0, 0).to_bits() + number)
 }
@@ -86,17 +86,17 @@
 pub fn forwarded(decision: &Decision) -> &Forward {
     match decision {
         Decision::Forward(forward) => forward,
-        other => panic!("expected a forward, got {other:?}"),
+        other => panic!("expected Decision::Forward, got {other:?}"),
     }
 }
 
-/// All rows of agents that a searching packet goes along.
+/// Returns the paths of agents that the search packets of a decision visit.
 pub fn rows(decision: &Decision) -> Vec<Vec<Ipv4Addr>> {
     let forward = forwarded(decision);
     [vec![path_of(forward)], forward.further_rows.clone()].concat()
 }
 
-/// The agents of a forwarded packet's first row, the first one first.
+/// Returns the first path of a decision's search packets, in order.
 pub fn path(decision: &Decision) -> Vec<Ipv4Addr> {
     path_of(forwarded(decision))
 }
@@ -105,21 +105,21 @@
     [vec![forward.agent], forward.next.clone()].concat()
 }
 
-/// Builds what the store says, change by change.
+/// Builds the contents of the store, change by change.
 #[derive(Default)]
 pub struct Store {
     replica: Replica,
     revision: u64,
-    /// Lives of targets that started again.
-    lives: u64,
-    /// Part of all configurations written from now on.
+    /// The latest incarnation of any restarted target.
+    incarnation: u64,
+    /// Included in all configurations written from now on.
     pub cold_starts: Vec<ColdStartPolicy>,
-    /// Part of them as well; 15 s if not set.
+    /// Included as well; 15 s if not set.
     pub idle_timeout_ms: Option<u64>,
 }
 
 impl Store {
-    /// One route to a service with ready targets numbered 1 to `targets`.
+    /// Creates a store with one route to a service with ready targets 1 to `targets`.
     pub fn with_targets(targets: u8) -> Self {
         let mut store = Self::default();
         store.route(&[(SERVICE, 1)]);
@@ -151,7 +151,7 @@
         self.replica.apply(update, 0);
     }
 
-    /// The same with many targets, all of one zone.
+    /// Creates a store with one route to a service with many targets, all in zone `a`.
     pub fn with_many_targets(targets: u32) -> Self {
         let mut store = Self::default();
         store.route(&[(SERVICE, 1)]);
@@ -162,7 +162,7 @@
         store
     }
 
-    /// Ready targets of a service in zone `a`, all in one change.
+    /// Adds ready targets of a service in zone `a`, all in one change.
     pub fn many_targets(&mut self, service: &str, numbers: std::ops::Range<u32>) {
         self.revision += 1;
         let targets = numbers.map(|number| VersionedTarget {
@@ -181,16 +181,16 @@
         self.change_target(format!("{service}-{number}"), record, now);
     }
 
-    /// A target starts again under its identifier.
+    /// Restarts a target under the same identifier.
     pub fn restart_target(&mut self, number: u8, service: &str, now: u64) {
-        self.lives += 1;
+        self.incarnation += 1;
         let zone = if number < 50 { "a" } else { "b" };
         let record = record(agent(number), service, zone, TargetState::Ready);
-        let record = TargetRecord { incarnation: Some(self.lives), ..record };
+        let record = TargetRecord { incarnation: Some(self.incarnation), ..record };
         self.change_target(format!("{service}-{number}"), Some(record), now);
     }
 
-    /// An entry under another key that names the machine of a target.
+    /// Adds an entry under another key with the address of a target.
     pub fn target_at(&mut self, number: u8, service: &str, id: &str, now: u64) {
         let record = record(agent(number), service, "a", TargetState::Ready);
         self.change_target(id.to_owned(), Some(record), now);
@@ -204,7 +204,7 @@
         self.replica.apply(update, now);
     }
 
-    /// Evacuates these zones, and takes all others back.
+    /// Evacuates these zones, and ends the evacuation of all others.
     pub fn evacuate(&mut self, zones: &[&str], now: u64) {
         self.revision += 1;
         let zones = zones.iter().map(|zone| (*zone).to_owned());
@@ -216,8 +216,8 @@
         self.view_from("near")
     }
 
-    /// The view of a daemon in this region; targets numbered 50 and above are in
-    /// region `far`, the others in `near`.
+    /// Compiles the view of a daemon in this region. Targets numbered 50 and above are in region
+    /// `far`, the others in `near`.
     pub fn view_from(&self, region: &str) -> FleetView {
         let zones = [("a", "near"), ("b", "far")];
         let regions = zones.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
@@ -225,8 +225,8 @@
         FleetView::compile(&self.replica, &locality)
     }
 
-    /// The view of a daemon in this zone; targets numbered 50 and above are in zone
-    /// `b`, the others in `a`, both in its region.
+    /// Compiles the view of a daemon in this zone. Targets numbered 50 and above are in zone `b`,
+    /// the others in `a`, both in its region.
     pub fn view_in_zone(&self, zone: &str) -> FleetView {
         let regions = ["a", "b"].map(|zone| (zone.to_owned(), "near".to_owned()));
         let locality = Locality::new(zone.to_owned(), "near".to_owned(), regions.into());
