--- a/crates/relay/src/agent/delivery.rs
+++ b/crates/relay/src/agent/delivery.rs
@@ -7,7 +7,8 @@
 use slog::info;
 use weirhinge_fleet::{Millis, PeerMessage, ReturnReason, ServiceId, VersionedTarget, decode};
 use weirhinge_steering::{
-    Arrival, DeliveryDecision, OutputDecision, PacketHead, RestartCheck, WaitOutcome, WaitedOpening,
+    Arrival, DeliveryDecision, OutputDecision, PacketHeader, PendingOpening, RestartCheck,
+    WaitOutcome,
 };
 
 use super::Daemon;
@@ -34,8 +35,8 @@
             Ok(PeerMessage::Probe) => self.link.send(sender, &PeerMessage::ProbeAnswer),
             Ok(PeerMessage::Forward { service, search, may_wait, urgent, granted, packet }) => {
                 match self.platform.decode(packet) {
-                    Ok(head) => self.deliver(&Arrival {
-                        head: &head,
+                    Ok(header) => self.deliver(&Arrival {
+                        header: &header,
                         packet,
                         balancer: search
                             .as_ref()
@@ -69,21 +70,21 @@
 
     pub(super) fn deliver(&self, arrival: &Arrival<'_>) {
         let now = self.clock.now();
-        if arrival.head.is_opening() && !self.core.borrow().is_sized() {
+        if arrival.header.is_opening() && !self.core.borrow().is_sized() {
             self.learn_target();
         }
         let decision = self.core.borrow_mut().delivery(arrival, now);
         match decision {
             DeliveryDecision::Deliver { echo, notice } => {
-                self.hand_labelled(arrival.head, arrival.packet, echo, now);
+                self.hand_labelled(arrival.header, arrival.packet, echo, now);
                 if let Some(notice) = notice {
                     self.send_notice(&notice, now);
                 }
             }
             DeliveryDecision::Return(reason) => {
-                let (head, packet, balancer) = (arrival.head, arrival.packet, arrival.balancer);
+                let (header, packet, balancer) = (arrival.header, arrival.packet, arrival.balancer);
                 let granted = arrival.granted.is_some();
-                self.return_packet(head, packet, balancer, reason, granted, now);
+                self.return_packet(header, packet, balancer, reason, granted, now);
             }
             DeliveryDecision::Wait { displaced } => {
                 if let Some(opening) = displaced {
@@ -91,7 +92,7 @@
                 }
                 let load = self.core.borrow().load(now);
                 self.metrics.openings_waited.inc();
-                self.decisions.waits(&arrival.head.client_flow(), load.waiting, now);
+                self.decisions.waits(&arrival.header.client_flow(), load.waiting, now);
                 self.link.send(arrival.balancer, &PeerMessage::Waits { load });
             }
             DeliveryDecision::WaitsAlready => {}
@@ -121,7 +122,7 @@
         match outcome {
             None => return false,
             Some(WaitOutcome::Deliver(opening, echo)) => {
-                self.hand_labelled(&opening.head, &opening.packet, echo, now);
+                self.hand_labelled(&opening.header, &opening.packet, echo, now);
             }
             Some(WaitOutcome::Return(opening, reason)) => {
                 self.return_opening(&opening, reason, now);
@@ -131,9 +132,9 @@
     }
 
     /// Sends an opening packet back that waited here; none that came with a grant waits.
-    fn return_opening(&self, opening: &WaitedOpening, reason: ReturnReason, now: Millis) {
-        let (head, packet) = (&opening.head, &opening.packet);
-        self.return_packet(head, packet, opening.balancer, reason, false, now);
+    fn return_opening(&self, opening: &PendingOpening, reason: ReturnReason, now: Millis) {
+        let (header, packet) = (&opening.header, &opening.packet);
+        self.return_packet(header, packet, opening.balancer, reason, false, now);
     }
 
     /// Asks a target that started again about some of the flows that it may have lost.
@@ -154,14 +155,14 @@
         }
     }
 
-    fn hand_labelled(&self, head: &PacketHead, packet: &[u8], echo: u32, now: Millis) {
+    fn hand_labelled(&self, header: &PacketHeader, packet: &[u8], echo: u32, now: Millis) {
         let mut labelled = packet.to_vec();
         self.platform.write_echo(&mut labelled, echo);
         if !self.hand_to_target(&labelled) {
             // Its port is closed: the packet is as good for another target as one
             // that the target itself sends back.
-            let decision = self.core.borrow_mut().not_taken(&head.client_flow(), echo);
-            self.carry_on(decision, head, packet, now);
+            let decision = self.core.borrow_mut().not_taken(&header.client_flow(), echo);
+            self.carry_on(decision, header, packet, now);
         }
     }
 
@@ -189,7 +190,7 @@
 
     pub(super) fn return_packet(
         &self,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         balancer: Ipv4Addr,
         reason: ReturnReason,
@@ -205,7 +206,7 @@
             ReturnReason::Busy => "busy",
         };
         self.metrics.returned.increment(label);
-        self.decisions.returned(&head.client_flow(), label, head.is_opening(), now);
+        self.decisions.returned(&header.client_flow(), label, header.is_opening(), now);
         let load = self.core.borrow().load(now);
         self.link.send(balancer, &PeerMessage::Returned { reason, granted, load, packet });
     }
--- a/crates/relay/src/agent/output.rs
+++ b/crates/relay/src/agent/output.rs
@@ -5,7 +5,7 @@
 
 use slog::info;
 use weirhinge_fleet::{Millis, PeerMessage, ReturnReason, ServiceId};
-use weirhinge_steering::{BreakerChange, FlowKey, HoldsNotice, OutputDecision, PacketHead};
+use weirhinge_steering::{BreakerChange, FlowKey, HoldsNotice, OutputDecision, PacketHeader};
 
 use super::Daemon;
 use crate::platform::Platform;
@@ -23,18 +23,18 @@
 
     fn target_packet(&self, packet: &mut [u8]) {
         let now = self.clock.now();
-        let head = match self.platform.decode(packet) {
-            Ok(head) => head,
+        let header = match self.platform.decode(packet) {
+            Ok(header) => header,
             Err(malformed) => return self.metrics.dropped.increment(malformed.label()),
         };
         if let Some(status) = self.platform.answer_status(packet) {
-            self.core.borrow_mut().answer_begins(&head.target_flow(), status, now);
+            self.core.borrow_mut().answer_begins(&header.target_flow(), status, now);
         }
-        let decision = self.core.borrow_mut().output(&head, now);
+        let decision = self.core.borrow_mut().output(&header, now);
         self.report_breaker();
         match decision {
             OutputDecision::ToClient { notice } => {
-                let client = SocketAddrV4::new(*head.destination.ip(), self.client_port);
+                let client = SocketAddrV4::new(*header.destination.ip(), self.client_port);
                 // Like any datagram, it may be lost; the target sends it again.
                 let _ = self.output.try_send_to(packet, client.into());
                 self.metrics.to_clients.inc();
@@ -44,7 +44,7 @@
             }
             onward => {
                 self.platform.restore_bounced(packet);
-                self.carry_on(onward, &head, packet, now);
+                self.carry_on(onward, &header, packet, now);
             }
         }
     }
@@ -71,18 +71,18 @@
     pub(super) fn carry_on(
         &self,
         decision: OutputDecision,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         now: Millis,
     ) {
         match decision {
             OutputDecision::Return { balancer, granted } => {
                 let reason = ReturnReason::Bounced;
-                self.return_packet(head, packet, balancer, reason, granted, now);
+                self.return_packet(header, packet, balancer, reason, granted, now);
             }
             OutputDecision::PassOn { agent, path } => {
                 self.metrics.returned.increment("passed_on");
-                self.decisions.passed_on(&head.client_flow(), agent, path.next.len(), now);
+                self.decisions.passed_on(&header.client_flow(), agent, path.next.len(), now);
                 let message = PeerMessage::Forward {
                     service: ServiceId::of(&self.service).0,
                     search: Some(path),
@@ -94,7 +94,7 @@
                 self.link.send(agent, &message);
             }
             OutputDecision::Reset { sequence } => {
-                self.reset_lost(&head.client_flow(), sequence, now)
+                self.reset_lost(&header.client_flow(), sequence, now)
             }
             OutputDecision::ToClient { .. } => {}
             OutputDecision::Drop(_) => self.metrics.dropped.increment("unknown_delivery"),
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -18,7 +18,7 @@
 use weirhinge_observe::Metrics;
 use weirhinge_steering::{
     Balancer, BalancerLimits, ClientPacket, Context, Decision, DropReason, FlowKey, Forward,
-    ForwardReason, PacketHead, ResetReason, RoomGrant,
+    ForwardReason, PacketHeader, ResetReason, RoomGrant,
 };
 
 use crate::backlog::Backlog;
@@ -162,21 +162,21 @@
 
     fn decide_packet(&self, packet: &[u8], helpers: &[Ipv4Addr], now: Millis) {
         let began = Instant::now();
-        let head = match self.platform.decode(packet) {
-            Ok(head) => head,
+        let header = match self.platform.decode(packet) {
+            Ok(header) => header,
             Err(malformed) => return self.metrics.dropped.increment(malformed.label()),
         };
         let decision = self.decide(now, |core, context| {
             let context = Context { helpers, ..*context };
-            core.client_packet(&context, ClientPacket { head: &head, bytes: packet })
+            core.client_packet(&context, ClientPacket { header: &header, bytes: packet })
         });
         self.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
         if let (Decision::Forward(forward), Some(id)) =
             (&decision, self.platform.request_id(packet))
         {
-            self.decisions.request(id, &forwarded(&head.client_flow(), forward), now);
+            self.decisions.request(id, &forwarded(&header.client_flow(), forward), now);
         }
-        self.carry_out(decision, &head, packet, now);
+        self.carry_out(decision, &header, packet, now);
     }
 
     fn peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
@@ -188,7 +188,7 @@
         match message {
             PeerMessage::Digest(digest) => {
                 if let Some(claim) = &digest.target {
-                    self.core.borrow_mut().claimed(sender, digest.zone, claim, now);
+                    self.core.borrow_mut().note_target_status(sender, digest.zone, claim, now);
                 }
                 self.link.on_digest(&digest, sender);
                 self.note_regained();
@@ -197,13 +197,13 @@
                 }
             }
             PeerMessage::Returned { reason, granted, load, packet } => {
-                let Ok(head) = self.platform.decode(packet) else { return };
+                let Ok(header) = self.platform.decode(packet) else { return };
                 let decision = self.decide(now, |core, context| {
-                    core.heard(sender, load, now);
-                    let packet = ClientPacket { head: &head, bytes: packet };
+                    core.note_answer(sender, load, now);
+                    let packet = ClientPacket { header: &header, bytes: packet };
                     core.returned_packet(context, packet, sender, reason, granted)
                 });
-                self.carry_out(decision, &head, packet, now);
+                self.carry_out(decision, &header, packet, now);
             }
             PeerMessage::Holds { client, service, confirmed, load } => {
                 let flow = FlowKey { client: endpoint(client), service: endpoint(service) };
@@ -213,11 +213,11 @@
                 }
             }
             PeerMessage::Waits { load } => {
-                self.core.borrow_mut().heard(sender, load, now);
+                self.core.borrow_mut().note_answer(sender, load, now);
             }
             PeerMessage::HandOff { packet } => self.handed_packet(packet, now),
-            PeerMessage::TargetEnded => self.core.borrow_mut().target_ended(sender, now),
-            PeerMessage::ProbeAnswer => self.core.borrow_mut().reached(now),
+            PeerMessage::TargetEnded => self.core.borrow_mut().note_target_ended(sender, now),
+            PeerMessage::ProbeAnswer => self.core.borrow_mut().note_probe_answer(now),
             PeerMessage::Grant { service, urgent_only, load } => {
                 let service = ServiceId(service);
                 let grant = RoomGrant { agent: sender, service, urgent_only, load };
@@ -241,8 +241,8 @@
         decide(&mut self.core.borrow_mut(), &context)
     }
 
-    fn carry_out(&self, decision: Decision, head: &PacketHead, packet: &[u8], now: Millis) {
-        let flow = head.client_flow();
+    fn carry_out(&self, decision: Decision, header: &PacketHeader, packet: &[u8], now: Millis) {
+        let flow = header.client_flow();
         match decision {
             Decision::Forward(forward) => {
                 self.log_forwarded(&flow, &forward, now);
--- a/crates/relay/src/balancer/queueing.rs
+++ b/crates/relay/src/balancer/queueing.rs
@@ -54,8 +54,8 @@
     }
 
     fn settle(&self, opening: SettledOpening, now: Millis) {
-        let SettledOpening { head, bytes, decision, .. } = opening;
-        self.carry_out(decision, &head, &bytes, now);
+        let SettledOpening { header, bytes, decision, .. } = opening;
+        self.carry_out(decision, &header, &bytes, now);
     }
 
     pub(super) fn show_queue_length(&self) {
--- a/crates/relay/src/balancer/resting.rs
+++ b/crates/relay/src/balancer/resting.rs
@@ -30,22 +30,22 @@
 
     fn continue_searches(&self, now: Millis) {
         let due = self.core.borrow_mut().due_searches(now);
-        for (head, packet) in due {
+        for (header, packet) in due {
             let decision = self.decide(now, |core, context| {
-                core.search_again(context, ClientPacket { head: &head, bytes: &packet })
+                core.search_again(context, ClientPacket { header: &header, bytes: &packet })
             });
-            self.carry_out(decision, &head, &packet, now);
+            self.carry_out(decision, &header, &packet, now);
         }
     }
 
     fn decide_undecided(&self, now: Millis) {
         let due = self.decide_with_helpers(now, |core, context| core.due_undecided(context));
-        for (head, packet) in due {
+        for (header, packet) in due {
             let decision = self.decide_with_helpers(now, |core, context| {
-                core.decide_again(context, ClientPacket { head: &head, bytes: &packet })
+                core.decide_again(context, ClientPacket { header: &header, bytes: &packet })
             });
             if let Some(decision) = decision {
-                self.carry_out(decision, &head, &packet, now);
+                self.carry_out(decision, &header, &packet, now);
             }
         }
     }
--- a/crates/relay/src/balancer/watch.rs
+++ b/crates/relay/src/balancer/watch.rs
@@ -53,7 +53,7 @@
                 // What arrived during the pause is still unread.
                 continue;
             }
-            if self.core.borrow().doubts_reach(now) {
+            if self.core.borrow().needs_probes(now) {
                 self.link.probe_agents();
             }
             let isolated = self.core.borrow().is_isolated(now);
@@ -86,7 +86,7 @@
     fn watch_overload(&self, watch: &mut OverloadWatch, status: &Status, now: Millis) {
         let longest_wait_ms = self.backlog.borrow_mut().take_longest_wait();
         let peers = self.node.borrow().peer_load(now);
-        let withdrawn = watch.monitor.look(longest_wait_ms, peers, now);
+        let withdrawn = watch.monitor.observe(longest_wait_ms, peers, now);
         let overloaded = watch.monitor.is_overloaded();
         watch.looks = if overloaded { watch.looks + 1 } else { 0 };
         let has_changed = self.node.borrow().overloaded != overloaded;
--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -4,7 +4,7 @@
 use weirhinge_fleet::{
     Millis, Position, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
 };
-use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHead};
+use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHeader};
 
 /// What is wrong with an item of the store, for counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,7 +127,7 @@
     ///
     /// # Errors
     /// Says what is wrong with the bytes.
-    fn decode(&self, packet: &[u8]) -> Result<PacketHead, MalformedPacket>;
+    fn decode(&self, packet: &[u8]) -> Result<PacketHeader, MalformedPacket>;
 
     /// Writes the label that comes back if a target bounces the packet.
     fn write_echo(&self, packet: &mut [u8], echo: u32);
--- a/crates/relay/tests/agent_grants.rs
+++ b/crates/relay/tests/agent_grants.rs
@@ -15,7 +15,7 @@
     AgentSettings, ListPage, Platform, ProcessLog, RawSettings, RejectedItem, Signals, WatchPage,
     run_agent,
 };
-use weirhinge_steering::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHead};
+use weirhinge_steering::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHeader};
 
 const CLIENTS_SERVICE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 const BALANCER: Ipv4Addr = Ipv4Addr::new(127, 0, 77, 2);
@@ -33,9 +33,9 @@
 struct PortsOnly;
 
 impl Platform for PortsOnly {
-    fn decode(&self, packet: &[u8]) -> Result<PacketHead, MalformedPacket> {
+    fn decode(&self, packet: &[u8]) -> Result<PacketHeader, MalformedPacket> {
         let (port, data) = packet.split_first_chunk().ok_or(MalformedPacket::WrongLength)?;
-        Ok(PacketHead {
+        Ok(PacketHeader {
             source: SocketAddrV4::new(BALANCER, u16::from_be_bytes(*port)),
             destination: CLIENTS_SERVICE,
             flags: Flags { syn: data.is_empty(), ..Flags::default() },
--- a/crates/relay/tests/fleet_node.rs
+++ b/crates/relay/tests/fleet_node.rs
@@ -214,7 +214,7 @@
     reader.apply_from_store(evacuation(2, 7), now);
     let mut other = serving(machine(9), now);
     let reaction = other.on_digest(&reader.digest(false, now), now + 1);
-    assert!(other.view().evacuated_count() == 1 && reaction.spread);
+    assert!(other.view().evacuated_zone_count() == 1 && reaction.spread);
     let again = other.on_digest(&reader.digest(false, now), now + 2);
     assert!(!again.spread, "passed on once");
     // An agent of the zone is answered, and knows.
@@ -228,5 +228,5 @@
     // A balancer without memory hears of it from that agent.
     let mut restarted = node(machine(8), PeerRole::Balancer);
     restarted.on_digest(&agent.digest(false, 200), 50);
-    assert_eq!(restarted.view().evacuated_count(), 1);
+    assert_eq!(restarted.view().evacuated_zone_count(), 1);
 }
--- a/crates/steering/src/agent/decision.rs
+++ b/crates/steering/src/agent/decision.rs
@@ -5,15 +5,15 @@
 use weirhinge_fleet::{ReturnReason, SearchPath};
 
 use crate::packet::FlowKey;
-use crate::waiting_room::WaitedOpening;
+use crate::pending_openings::PendingOpening;
 
 /// What to do with a packet that waited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
     /// Hand it to the target under this label.
-    Deliver(WaitedOpening, u32),
+    Deliver(PendingOpening, u32),
     /// Send it back to its balancer.
-    Return(WaitedOpening, ReturnReason),
+    Return(PendingOpening, ReturnReason),
 }
 
 /// What to do with a packet for the target.
@@ -32,7 +32,7 @@
     /// It waits here until the target has room.
     Wait {
         /// The opening packet that made room for it and goes back to its balancer.
-        displaced: Option<Box<WaitedOpening>>,
+        displaced: Option<Box<PendingOpening>>,
     },
     /// A copy of it waits here already.
     WaitsAlready,
--- a/crates/steering/src/agent/demand.rs
+++ b/crates/steering/src/agent/demand.rs
@@ -5,7 +5,7 @@
 
 use weirhinge_fleet::{Millis, OpeningDemand, WaitingOpenings};
 
-use crate::class_share::{OTHERS_ONE_IN, others_are_due};
+use crate::class_share::{NON_URGENT_ONE_IN, is_non_urgent_due};
 
 /// Most balancers whose demand is kept, above the number of a large fleet.
 const CAPACITY: usize = 512;
@@ -150,7 +150,7 @@
     /// Whom to grant room to, and for which class. Others that are due by their least share
     /// get any room: urgent openings may keep a target above what others are given.
     pub(super) fn first(&self, room: Room, now: Millis) -> Option<(Ipv4Addr, Class)> {
-        let others_due = others_are_due(self.urgent_in_row);
+        let others_due = is_non_urgent_due(self.urgent_in_row);
         let others = || self.longest(Class::Others, now);
         if others_due
             && room.urgent
@@ -192,7 +192,7 @@
     /// Notes that a grant meant for others was used by an urgent opening: others are still due.
     pub(super) fn others_passed_over(&mut self) {
         if self.has(Class::Others) {
-            self.urgent_in_row = OTHERS_ONE_IN - 1;
+            self.urgent_in_row = NON_URGENT_ONE_IN - 1;
         }
     }
 
--- a/crates/steering/src/agent/flow.rs
+++ b/crates/steering/src/agent/flow.rs
@@ -5,7 +5,7 @@
 use weirhinge_fleet::Millis;
 
 use super::restart_checks::LatestPacket;
-use crate::packet::PacketHead;
+use crate::packet::PacketHeader;
 
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
@@ -39,21 +39,21 @@
     }
 
     /// Keeps the packet, unless it opens or ends the flow.
-    pub(super) fn keep_latest(&mut self, head: &PacketHead, packet: &[u8]) {
-        let flags = head.flags;
+    pub(super) fn keep_latest(&mut self, header: &PacketHeader, packet: &[u8]) {
+        let flags = header.flags;
         if flags.syn || flags.fin || flags.rst {
             self.latest = LatestPacket::default();
         } else {
-            self.latest.set(packet, head.acknowledgment);
+            self.latest.set(packet, header.acknowledgment);
         }
     }
 
     /// Notes the packet's data. Returns whether any of it is new.
-    pub(super) fn takes_new_data(&mut self, head: &PacketHead) -> bool {
-        let end = head.sequence.wrapping_add(u32::from(head.length));
+    pub(super) fn takes_new_data(&mut self, header: &PacketHeader) -> bool {
+        let end = header.sequence.wrapping_add(u32::from(header.length));
         // Sequence numbers wrap: half of the range counts as ahead.
         let is_ahead = |known: u32| end.wrapping_sub(known) as i32 > 0;
-        let is_new = head.length > 0 && self.delivered_to.is_none_or(is_ahead);
+        let is_new = header.length > 0 && self.delivered_to.is_none_or(is_ahead);
         if is_new {
             self.delivered_to = Some(end);
         }
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -77,7 +77,7 @@
         self.grants.expire(now);
         let Some(rest) = arrival.granted else { return GrantUse::None };
         // A doubled message must not take the room of the balancer's next opening.
-        let key = arrival.head.client_flow();
+        let key = arrival.header.client_flow();
         let came_from = self.flows.get(&key).map(|flow| flow.balancer);
         if came_from == Some(arrival.balancer) && self.is_copy(&key, now) {
             return GrantUse::None;
@@ -133,7 +133,7 @@
     }
 
     fn has_room_for_own(&self) -> bool {
-        self.openings.first_is_urgent().is_some_and(|urgent| self.room().has(urgent))
+        self.openings.next_is_urgent().is_some_and(|urgent| self.room().has(urgent))
     }
 
     pub(super) fn room(&self) -> Room {
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -28,8 +28,8 @@
 pub use grants::Grant;
 
 use crate::arrival::Arrival;
-use crate::packet::{AnswerStatus, FlowKey, OPENING_SPAN_MS, PacketHead};
-use crate::waiting_room::WaitingRoom;
+use crate::packet::{AnswerStatus, FlowKey, OPENING_SPAN_MS, PacketHeader};
+use crate::pending_openings::PendingOpenings;
 use admission::Admission;
 use breaker::CircuitBreaker;
 use cold_start::ColdStart;
@@ -63,7 +63,7 @@
     /// Those flows in the order of admission, with the time until which they count.
     expectations: VecDeque<(Millis, FlowKey)>,
     round_trip: RoundTrip,
-    openings: WaitingRoom,
+    openings: PendingOpenings,
     grants: Grants,
     /// Searches that the target did not answer yet, in the order of delivery.
     searches: VecDeque<(Millis, FlowKey)>,
@@ -93,7 +93,7 @@
             expected: 0,
             expectations: VecDeque::new(),
             round_trip: RoundTrip::default(),
-            openings: WaitingRoom::default(),
+            openings: PendingOpenings::default(),
             grants: Grants::default(),
             searches: VecDeque::new(),
             wrote_at: None,
@@ -179,7 +179,7 @@
 
     /// Decides about a client's packet that a balancer sent.
     pub fn delivery(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
-        if arrival.head.is_opening() {
+        if arrival.header.is_opening() {
             if arrival.service != self.service {
                 return DeliveryDecision::Return(ReturnReason::OtherService);
             }
@@ -187,10 +187,10 @@
             if self.leaving {
                 return DeliveryDecision::Return(ReturnReason::Leaving);
             }
-            if self.evacuated && !self.is_copy(&arrival.head.client_flow(), now) {
+            if self.evacuated && !self.is_copy(&arrival.header.client_flow(), now) {
                 return DeliveryDecision::Return(ReturnReason::Evacuated);
             }
-            let is_new = !self.flows.contains_key(&arrival.head.client_flow());
+            let is_new = !self.flows.contains_key(&arrival.header.client_flow());
             if is_new && self.is_turned_away(arrival, grant, now) {
                 return DeliveryDecision::Return(ReturnReason::Failing);
             }
@@ -199,12 +199,12 @@
             }
             // This may be a copy that found room before the packet that waits: its flow
             // must not be refused later.
-            self.openings.remove(&arrival.head.client_flow());
+            self.openings.remove(&arrival.header.client_flow());
         }
         let notice = self.search_notice(arrival);
         // A balancer that is told now need not be told when the target answers.
         let searched = arrival.search.is_some() && notice.is_none();
-        self.follow(arrival.head, arrival.packet, arrival.balancer, searched, now);
+        self.follow(arrival.header, arrival.packet, arrival.balancer, searched, now);
         let echo = self.deliveries.remember(arrival);
         DeliveryDecision::Deliver { echo, notice }
     }
@@ -214,20 +214,20 @@
         self.drop_expectations(now);
         self.grants.expire(now);
         if let Some(reason) = self.takes_nothing()
-            && let Some(opening) = self.openings.take_any()
+            && let Some(opening) = self.openings.take_newest()
         {
             return Some(WaitOutcome::Return(opening, reason));
         }
-        if let Some(opening) = self.openings.take_over(now) {
+        if let Some(opening) = self.openings.take_expired(now) {
             return Some(WaitOutcome::Return(opening, ReturnReason::Busy));
         }
         if !self.cold_start_admits(now) || self.yields_to_grant(now) {
             return None;
         }
         let room = self.room();
-        let opening = self.openings.take_first(|urgent| room.has(urgent))?;
+        let opening = self.openings.take_next(|urgent| room.has(urgent))?;
         self.grants.own_turn = false;
-        self.follow(&opening.head, &opening.packet, opening.balancer, false, now);
+        self.follow(&opening.header, &opening.packet, opening.balancer, false, now);
         let echo = self.deliveries.remember_waited(opening.balancer);
         Some(WaitOutcome::Deliver(opening, echo))
     }
@@ -258,7 +258,7 @@
     }
 
     fn busy_opening(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
-        if self.openings.has(&arrival.head.client_flow()) {
+        if self.openings.contains(&arrival.header.client_flow()) {
             return DeliveryDecision::WaitsAlready;
         }
         if !arrival.may_wait || arrival.granted.is_some() {
@@ -294,39 +294,39 @@
     }
 
     /// Decides about a packet that the target sent.
-    pub fn output(&mut self, head: &PacketHead, now: Millis) -> OutputDecision {
+    pub fn output(&mut self, header: &PacketHeader, now: Millis) -> OutputDecision {
         self.wrote_at = Some(now);
         self.service_time.advance(now);
-        if head.flags.bounced {
-            return self.not_taken(&head.client_flow(), head.echo);
+        if header.flags.bounced {
+            return self.not_taken(&header.client_flow(), header.echo);
         }
-        let flow = head.target_flow();
+        let flow = header.target_flow();
         let Some(entry) = self.flows.get_mut(&flow) else {
             return OutputDecision::ToClient { notice: None };
         };
         entry.used_at = now;
-        let ends = head.flags.fin || head.flags.rst;
-        let answered = if head.length > 0 || ends { entry.waiting_since.take() } else { None };
+        let ends = header.flags.fin || header.flags.rst;
+        let answered = if header.length > 0 || ends { entry.waiting_since.take() } else { None };
         if let Some(since) = answered {
             self.admission.answered(now.saturating_sub(since), self.waiting);
-            if head.length > 0 {
+            if header.length > 0 {
                 self.service_time.answered(&flow);
             } else {
                 self.service_time.withdrawn(&flow);
             }
             self.waiting -= 1;
-            if head.flags.rst {
+            if header.flags.rst {
                 self.breaker_change = self.breaker.failed(now).or(self.breaker_change);
             }
         }
-        let answers_opening = head.flags.syn && head.flags.ack;
+        let answers_opening = header.flags.syn && header.flags.ack;
         let notice = HoldsNotice { balancer: entry.balancer, flow, confirmed: !answers_opening };
         let is_due = answers_opening || entry.searched_since.is_some();
         if !answers_opening {
             entry.searched_since = None;
             entry.confirmed = true;
         }
-        if head.flags.rst {
+        if header.flags.rst {
             self.forget(&flow);
         }
         OutputDecision::ToClient { notice: is_due.then_some(notice) }
--- a/crates/steering/src/agent/searches.rs
+++ b/crates/steering/src/agent/searches.rs
@@ -21,7 +21,7 @@
     /// knows. The target itself may take longer to answer than a balancer waits
     /// before it looks elsewhere; if it lost the flow, its bounce corrects this.
     pub(super) fn search_notice(&self, arrival: &Arrival<'_>) -> Option<HoldsNotice> {
-        let flow = arrival.head.client_flow();
+        let flow = arrival.header.client_flow();
         let entry = self.flows.get(&flow).filter(|_| arrival.search.is_some())?;
         entry.is_held().then_some(HoldsNotice { balancer: arrival.balancer, flow, confirmed: true })
     }
--- a/crates/steering/src/agent/tracking.rs
+++ b/crates/steering/src/agent/tracking.rs
@@ -8,7 +8,7 @@
 use super::flow::Flow;
 use super::restart_checks::LatestPacket;
 use super::{Agent, FLOW_CAPACITY, SEARCH_CAPACITY};
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 impl Agent {
     /// How busy the target is, for balancers.
@@ -52,13 +52,13 @@
 
     pub(super) fn follow(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         balancer: Ipv4Addr,
         searched: bool,
         now: Millis,
     ) {
-        let flow = head.client_flow();
+        let flow = header.client_flow();
         let is_new = !self.flows.contains_key(&flow);
         if is_new && self.flows.len() >= FLOW_CAPACITY {
             if !searched {
@@ -67,7 +67,7 @@
             return;
         }
         self.service_time.advance(now);
-        let is_expected = is_new && head.is_opening();
+        let is_expected = is_new && header.is_opening();
         if is_expected {
             self.cold_start.admitted(now);
         }
@@ -85,14 +85,14 @@
         });
         entry.balancer = balancer;
         entry.used_at = now;
-        entry.keep_latest(head, packet);
+        entry.keep_latest(header, packet);
         if searched && entry.searched_since.is_none() {
             entry.searched_since = Some(now);
             if self.searches.len() < SEARCH_CAPACITY {
                 self.searches.push_back((now, flow));
             }
         }
-        if entry.takes_new_data(head) && entry.waiting_since.is_none() {
+        if entry.takes_new_data(header) && entry.waiting_since.is_none() {
             entry.waiting_since = Some(now);
             self.waiting += 1;
             self.service_time.delivered(flow);
@@ -102,11 +102,11 @@
             let until = now + self.round_trip.expected_within();
             self.expectations.push_back((until, flow));
         }
-        if head.length > 0 {
+        if header.length > 0 {
             self.note_first_request(&flow, now);
             self.fulfil(&flow);
         }
-        if head.flags.rst {
+        if header.flags.rst {
             self.forget(&flow);
         }
     }
--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -77,7 +77,7 @@
 
 /// Service and wait times that an agent reported for its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldTimes {
+pub struct ReportedTimes {
     /// Milliseconds that the target spends on one request.
     pub service_ms: u32,
     /// Milliseconds for which one more request would have waited before being served.
@@ -117,7 +117,7 @@
 
 impl AgentStatuses {
     /// Records that an opening packet was sent to an agent.
-    pub fn sent_opening(&mut self, agent: Ipv4Addr, now: Millis) {
+    pub fn note_opening_sent(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.sent_since += 1;
         status.last_tried = now;
@@ -129,14 +129,14 @@
     /// Records an agent's answer to a probe: packets reach the agents, even if their targets answer
     /// none. Routers send no packets to a balancer that is not ready, so without probes it would
     /// send no opening packets and could never detect that it is reachable again.
-    pub fn reached(&mut self, now: Millis) {
+    pub fn note_probe_answer(&mut self, now: Millis) {
         self.last_contact_at = Some(now);
         self.unanswered = 0;
         self.unanswered_since = None;
     }
 
     /// Whether to send probes to find out if agents are reachable.
-    pub fn doubts_reach(&self, now: Millis) -> bool {
+    pub fn needs_probes(&self, now: Millis) -> bool {
         let waited_ms = self.unanswered_since.map(|since| now.saturating_sub(since));
         self.unanswered >= ISOLATED_OPENINGS
             && waited_ms.is_some_and(|waited_ms| waited_ms >= UNANSWERED_MS)
@@ -154,27 +154,33 @@
     }
 
     /// Records an agent's answer to a packet, with the load of its target.
-    pub fn heard(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
+    pub fn note_answer(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.update_load(load, now);
         status.unanswered_since = None;
         status.unanswered_search_at = None;
         status.unanswered_searches = 0;
         status.ended_at = None;
-        self.reached(now);
+        self.note_probe_answer(now);
     }
 
     /// Records a grant, with the load of the agent's target. Unlike an answer to a packet, it does
     /// not show that the target responds.
-    pub fn granted(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
+    pub fn note_grant(&mut self, agent: Ipv4Addr, load: TargetLoad, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.update_load(load, now);
-        self.reached(now);
+        self.note_probe_answer(now);
     }
 
     /// Records an agent's report about its target. Unlike an answer to a packet, it does not show
     /// that the target works.
-    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
+    pub fn note_target_status(
+        &mut self,
+        agent: Ipv4Addr,
+        zone: ZoneId,
+        claim: &TargetClaim,
+        now: Millis,
+    ) {
         let status = self.statuses.entry(agent).or_default();
         status.update_load(claim.load, now);
         status.leaving_at = claim.leaving.then_some(now);
@@ -202,7 +208,7 @@
     }
 
     /// Returns the number of reports of a live target from agents without such a report before.
-    pub fn claims_seen(&self) -> u64 {
+    pub fn targets_reported(&self) -> u64 {
         self.targets_reported
     }
 
@@ -237,14 +243,14 @@
     }
 
     /// Records that an agent left unanswered a search packet that was sent to it alone.
-    pub fn ignored_search(&mut self, agent: Ipv4Addr, now: Millis) {
+    pub fn note_unanswered_search(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.unanswered_search_at = Some(now);
         status.unanswered_searches += 1;
     }
 
     /// Records an agent's report that its target has ended; the agent stops too.
-    pub fn target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
+    pub fn note_target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
         let status = self.statuses.entry(agent).or_default();
         status.ended_at = Some(now);
         status.leaving_at = Some(now);
@@ -260,14 +266,14 @@
 
     /// Whether an agent recently left several search packets unanswered and answered no packet; a
     /// single search packet may have been lost.
-    pub fn is_persistently_mute(&self, agent: Ipv4Addr, now: Millis) -> bool {
+    pub fn is_persistently_unresponsive(&self, agent: Ipv4Addr, now: Millis) -> bool {
         let unanswered = self.statuses.get(&agent).map_or(0, |status| status.unanswered_searches);
-        unanswered >= PERSISTENT_UNANSWERED_SEARCHES && self.is_mute(agent, now)
+        unanswered >= PERSISTENT_UNANSWERED_SEARCHES && self.is_unresponsive(agent, now)
     }
 
     /// Whether an agent recently left a search packet unanswered: its target does not respond,
     /// although the agent may report that it does.
-    pub fn is_mute(&self, agent: Ipv4Addr, now: Millis) -> bool {
+    pub fn is_unresponsive(&self, agent: Ipv4Addr, now: Millis) -> bool {
         let unanswered_at =
             self.statuses.get(&agent).and_then(|status| status.unanswered_search_at);
         unanswered_at.is_some_and(|at| now.saturating_sub(at) < UNRESPONSIVE_MS)
@@ -289,12 +295,12 @@
     }
 
     /// Returns the times that the agent last reported for its target, if it reported any.
-    pub fn times(&self, agent: Ipv4Addr, now: Millis) -> Option<ToldTimes> {
+    pub fn times(&self, agent: Ipv4Addr, now: Millis) -> Option<ReportedTimes> {
         let status = self.statuses.get(&agent)?;
         let age_ms = now.saturating_sub(status.reported_at);
         let (expected_ms, service_ms) = status.load.expected_ms.zip(status.load.service_ms)?;
         let wait_ms = expected_ms.saturating_sub(service_ms);
-        Some(ToldTimes { service_ms, wait_ms, age_ms })
+        Some(ReportedTimes { service_ms, wait_ms, age_ms })
     }
 
     /// Returns the milliseconds since the agent's latest report; none if there is none.
@@ -304,7 +310,7 @@
     }
 
     /// Returns the agents with a valid report of a live target of this service, in address order.
-    pub fn claimants(&self, service: ServiceId, now: Millis) -> Vec<Ipv4Addr> {
+    pub fn agents_with_target(&self, service: ServiceId, now: Millis) -> Vec<Ipv4Addr> {
         let is_fresh = |status: &AgentStatus| {
             status
                 .reported_target
@@ -318,7 +324,7 @@
 
     /// Returns the agents with a valid report of a live target of any service except these, each
     /// with the service.
-    pub fn claimants_outside(
+    pub fn agents_with_target_outside(
         &self,
         services: &HashSet<ServiceId>,
         now: Millis,
@@ -332,7 +338,7 @@
     }
 
     /// Returns the zone of an agent that reported a live target.
-    pub fn claimed_zone(&self, agent: Ipv4Addr) -> Option<ZoneId> {
+    pub fn reported_zone(&self, agent: Ipv4Addr) -> Option<ZoneId> {
         self.statuses.get(&agent)?.reported_target.map(|target| target.zone)
     }
 
--- a/crates/steering/src/arrival.rs
+++ b/crates/steering/src/arrival.rs
@@ -4,13 +4,13 @@
 
 use weirhinge_fleet::{OpeningDemand, ServiceId};
 
-use crate::packet::PacketHead;
+use crate::packet::PacketHeader;
 
 /// A client packet that a balancer forwarded to an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
     /// The packet's header.
-    pub head: &'a PacketHead,
+    pub header: &'a PacketHeader,
     /// The whole packet.
     pub packet: &'a [u8],
     /// The balancer that received it from the client's router.
--- a/crates/steering/src/balancer/caller_shares.rs
+++ b/crates/steering/src/balancer/caller_shares.rs
@@ -9,7 +9,7 @@
 
 use weirhinge_fleet::Millis;
 
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 
 /// Time after its admission for which an opening counts.
 const RECENT_MS: Millis = 1_000;
@@ -54,7 +54,7 @@
     /// The caller's rank for one more opening: worse the more openings it has beside the
     /// mean of the others. Who has as many as the mean keeps its rank, since a caller's last
     /// opening still counts when its next one comes.
-    pub fn rank(&mut self, caller: Ipv4Addr, rank: CallerRank, now: Millis) -> CallerRank {
+    pub fn rank(&mut self, caller: Ipv4Addr, rank: ClientRank, now: Millis) -> ClientRank {
         self.expire(now);
         let own = self.openings.get(&caller).copied().unwrap_or(0);
         let others = self.openings.len() - usize::from(own > 0);
@@ -62,7 +62,7 @@
             return rank;
         }
         let share = (self.total - own).div_ceil(others as u32);
-        rank.with_shares(own / (share + 1))
+        rank.with_shares_used(own / (share + 1))
     }
 
     fn expire(&mut self, now: Millis) {
--- a/crates/steering/src/balancer/granting.rs
+++ b/crates/steering/src/balancer/granting.rs
@@ -8,8 +8,8 @@
 use super::opening_queue::QueuedOpening;
 use super::{Balancer, ClientPacket, Context};
 use crate::flow_table::FlowStage;
-use crate::packet::{FlowKey, PacketHead};
-use crate::view::{Candidate, RouteChoice, Standing};
+use crate::packet::{FlowKey, PacketHeader};
+use crate::view::{Availability, Candidate, CompiledRoute};
 
 /// An agent's word that its target has room for one opening packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledOpening {
     /// Its head.
-    pub head: PacketHead,
+    pub header: PacketHeader,
     /// All of it.
     pub bytes: Vec<u8>,
     /// What becomes of it.
@@ -40,7 +40,7 @@
 impl SettledOpening {
     fn new(opening: QueuedOpening, decision: Decision, now: Millis) -> Self {
         let waited_ms = now.saturating_sub(opening.queued_at);
-        Self { head: opening.head, bytes: opening.bytes, decision, waited_ms }
+        Self { header: opening.header, bytes: opening.bytes, decision, waited_ms }
     }
 }
 
@@ -67,7 +67,7 @@
 impl Balancer {
     /// Takes an agent's grant for the opening that goes first.
     pub fn grant(&mut self, context: &Context<'_>, grant: &RoomGrant) -> GrantAnswer {
-        self.statuses.granted(grant.agent, grant.load, context.now);
+        self.statuses.note_grant(grant.agent, grant.load, context.now);
         let answer = self.answer_grant(context, grant);
         let urgent_only = grant.urgent_only && answer.granted.is_none();
         let next = self.late_binding.flows_in_turn(grant.service, urgent_only).next();
@@ -97,7 +97,7 @@
         let first = self.late_binding.first_flow(grant.service)?;
         let is_granting = |candidate: &&Candidate| candidate.agent == grant.agent;
         let known = context.view.candidates(grant.service).iter().find(is_granting);
-        if let Some(known) = known.filter(|known| known.standing == Standing::Ready) {
+        if let Some(known) = known.filter(|known| known.availability == Availability::Ready) {
             let takes_flows = !known.evacuated && !self.is_silent(known, context.now);
             return takes_flows.then_some(*known);
         }
@@ -135,7 +135,7 @@
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.tried.clear();
         }
-        let packet = ClientPacket { head: &opening.head, bytes: &opening.bytes };
+        let packet = ClientPacket { header: &opening.header, bytes: &opening.bytes };
         let decision = self.choose_target(context, packet, ForwardReason::Opened);
         self.keep_undecided(&decision, packet, now);
         Some(SettledOpening::new(opening, decision, now))
@@ -150,7 +150,7 @@
     ) -> Option<SettledOpening> {
         let (now, service, agent) = (context.now, grant.service, grant.agent);
         let opening = self.late_binding.admit(flow, now)?;
-        self.statuses.sent_opening(agent, now);
+        self.statuses.note_opening_sent(agent, now);
         let is_forgotten = self.flows.get_mut(flow).is_none();
         self.go_to(*flow, agent, FlowStage::Opening, now);
         if let Some(entry) = self.flows.get_mut(flow) {
@@ -162,7 +162,7 @@
                 entry.queued_at = Some(opening.queued_at);
             }
         }
-        let urgent = context.view.route(flow.service).is_some_and(RouteChoice::is_urgent);
+        let urgent = context.view.route(flow.service).is_some_and(CompiledRoute::is_urgent);
         let mut forward = Forward::to(agent, service, ForwardReason::OpeningGranted);
         forward.urgent = urgent;
         forward.granted = Some(self.late_binding.demand(service, now));
@@ -178,7 +178,7 @@
             let expected_wait_ms = self.late_binding.expected_wait(class, ahead, now);
             let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms: 0 };
             let reason = ResetReason::Overloaded { inputs };
-            let decision = self.refuse(&opening.head.client_flow(), reason);
+            let decision = self.refuse(&opening.header.client_flow(), reason);
             refused.push(SettledOpening::new(opening, decision, now));
         }
         refused
--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -9,8 +9,8 @@
 use super::caller_shares::CallerShares;
 use super::opening_queue::{OpeningQueue, QueueClass, QueuedOpening, Turn};
 use super::queue_delay::AdmissionRate;
-use crate::caller_rank::{CallerRank, caller_rank};
-use crate::class_share::others_are_due;
+use crate::class_share::is_non_urgent_due;
+use crate::client_rank::{ClientRank, client_rank};
 use crate::packet::FlowKey;
 use crate::view::Candidate;
 
@@ -69,7 +69,7 @@
 impl LateBinding {
     /// Lets an opening wait. Returns whether there was a place.
     pub(super) fn push(&mut self, opening: QueuedOpening, turn: Turn, now: Millis) -> bool {
-        let (class, caller) = (opening.class, *opening.head.source.ip());
+        let (class, caller) = (opening.class, *opening.header.source.ip());
         if !self.queue.push(opening, turn) {
             return false;
         }
@@ -101,7 +101,7 @@
     /// Takes out an opening whose budget has ended.
     pub(super) fn take_overdue(&mut self, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.take_overdue(now)?;
-        self.shares.gave_up(*opening.head.source.ip());
+        self.shares.gave_up(*opening.header.source.ip());
         self.note_left(opening.class, now);
         Some(opening)
     }
@@ -154,8 +154,8 @@
     }
 
     /// The rank of a caller for one more opening.
-    pub(super) fn rank(&mut self, caller: Ipv4Addr, unix_ms: u64, now: Millis) -> CallerRank {
-        self.shares.rank(caller, caller_rank(caller, unix_ms), now)
+    pub(super) fn rank(&mut self, caller: Ipv4Addr, unix_ms: u64, now: Millis) -> ClientRank {
+        self.shares.rank(caller, client_rank(caller, unix_ms), now)
     }
 
     /// The flows that wait for a service, in the order in which they are served.
@@ -166,7 +166,7 @@
     ) -> impl Iterator<Item = FlowKey> {
         let in_row = self.services.get(&service).map_or(0, |state| state.urgent_in_row);
         let mut classes = QueueClass::of(service);
-        if !urgent_only && others_are_due(in_row) {
+        if !urgent_only && is_non_urgent_due(in_row) {
             classes.reverse();
         }
         let taking = if urgent_only { 1 } else { classes.len() };
--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::agent_status::AgentStatuses;
 use crate::flow_table::{FlowEntry, FlowStage, FlowTable};
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 use crate::pending_packets::PendingPackets;
 use crate::route_history::RouteHistory;
 use crate::search_budget::SearchBudget;
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPacket<'a> {
     /// Its head.
-    pub head: &'a PacketHead,
+    pub header: &'a PacketHeader,
     /// All of it.
     pub bytes: &'a [u8],
 }
@@ -141,7 +141,7 @@
 
     /// Decides about a client's packet.
     pub fn client_packet(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
-        if packet.head.flags.bounced {
+        if packet.header.flags.bounced {
             return Decision::Drop(DropReason::BouncedByClient);
         }
         let decision = self.decide_client_packet(context, packet);
@@ -154,13 +154,13 @@
         context: &Context<'_>,
         packet: ClientPacket<'_>,
     ) -> Decision {
-        if let Some(helper) = self.helper(context, packet.head) {
+        if let Some(helper) = self.helper(context, packet.header) {
             return Decision::HandOff { helper };
         }
-        if packet.head.is_opening() {
+        if packet.header.is_opening() {
             return self.opening_packet(context, packet);
         }
-        let decision = self.later_packet(context, packet.head);
+        let decision = self.later_packet(context, packet.header);
         self.keep_for_search(&decision, packet, context);
         decision
     }
@@ -183,8 +183,8 @@
             | ReturnReason::Evacuated
             | ReturnReason::Busy => {}
         }
-        let opens = packet.head.is_opening();
-        let flow = packet.head.client_flow();
+        let opens = packet.header.is_opening();
+        let flow = packet.header.client_flow();
         if self.is_queued(&flow) {
             if opens {
                 return Decision::Drop(DropReason::OpeningQueued);
@@ -202,7 +202,7 @@
             self.keep_undecided(&decision, packet, context.now);
             return decision;
         }
-        let decision = self.search(context, packet.head);
+        let decision = self.search(context, packet.header);
         self.keep_for_search(&decision, packet, context);
         decision
     }
@@ -217,45 +217,51 @@
         load: impl Into<TargetLoad>,
         now: Millis,
     ) -> Option<Millis> {
-        self.statuses.heard(from, load.into(), now);
+        self.statuses.note_answer(from, load.into(), now);
         self.leave_queue(&flow, now);
         let entry = self.flows.get_mut(&flow)?;
         let was_opening = entry.stage == FlowStage::Opening;
-        if matches!(entry.stage, FlowStage::Searching | FlowStage::Unheld) {
+        if matches!(entry.stage, FlowStage::Searching | FlowStage::NotFound) {
             self.search_outcomes.note(false, now);
         }
         // Two targets may answer copies of one opening packet; the client goes on
         // with one of them, and only that one's later packets confirm.
         if confirmed || entry.stage != FlowStage::Held {
-            entry.hold(from);
+            entry.set_holder(from);
             self.searches.remove(&flow);
         }
         was_opening.then(|| now.saturating_sub(entry.tried_at))
     }
 
     /// Takes in an agent's sign of life that came with an answer to a packet.
-    pub fn heard(&mut self, agent: Ipv4Addr, load: impl Into<TargetLoad>, now: Millis) {
-        self.statuses.heard(agent, load.into(), now);
+    pub fn note_answer(&mut self, agent: Ipv4Addr, load: impl Into<TargetLoad>, now: Millis) {
+        self.statuses.note_answer(agent, load.into(), now);
     }
 
     /// Takes in the word of an agent, which runs in `zone`, about the target beside it.
-    pub fn claimed(&mut self, agent: Ipv4Addr, zone: ZoneId, claim: &TargetClaim, now: Millis) {
-        self.statuses.claimed(agent, zone, claim, now);
+    pub fn note_target_status(
+        &mut self,
+        agent: Ipv4Addr,
+        zone: ZoneId,
+        claim: &TargetClaim,
+        now: Millis,
+    ) {
+        self.statuses.note_target_status(agent, zone, claim, now);
     }
 
     /// Takes in an agent's answer to a probe.
-    pub fn reached(&mut self, now: Millis) {
-        self.statuses.reached(now);
+    pub fn note_probe_answer(&mut self, now: Millis) {
+        self.statuses.note_probe_answer(now);
     }
 
     /// Takes in that an agent's target has ended: searches need not ask it.
-    pub fn target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
-        self.statuses.target_ended(agent, now);
+    pub fn note_target_ended(&mut self, agent: Ipv4Addr, now: Millis) {
+        self.statuses.note_target_ended(agent, now);
     }
 
     /// Whether agents are to be probed, as openings stay unanswered.
-    pub fn doubts_reach(&self, now: Millis) -> bool {
-        self.statuses.doubts_reach(now)
+    pub fn needs_probes(&self, now: Millis) -> bool {
+        self.statuses.needs_probes(now)
     }
 
     /// Whether this balancer seems to be cut off from all agents.
@@ -274,33 +280,33 @@
 
     /// The balancer that takes a packet over: the same for all packets of a flow.
     /// Flows that are known here cost little and stay.
-    fn helper(&mut self, context: &Context<'_>, head: &PacketHead) -> Option<Ipv4Addr> {
-        let flow = head.client_flow();
+    fn helper(&mut self, context: &Context<'_>, header: &PacketHeader) -> Option<Ipv4Addr> {
+        let flow = header.client_flow();
         let is_known = context.helpers.is_empty()
             || self.flows.get_mut(&flow).is_some()
             || self.is_queued(&flow);
-        let may_leave = context.view.allows_own_region(head.destination);
+        let may_leave = context.view.allows_own_region(header.destination);
         if is_known || !may_leave { None } else { rendezvous_first(flow.hash(), context.helpers) }
     }
 
-    fn later_packet(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
-        let flow = head.client_flow();
+    fn later_packet(&mut self, context: &Context<'_>, header: &PacketHeader) -> Decision {
+        let flow = header.client_flow();
         if self.is_queued(&flow) {
             // Its client goes on: a copy of its opening packet was answered elsewhere.
             self.leave_queue(&flow, context.now);
             self.flows.remove(&flow);
         }
         let Some(entry) = self.flows.get_mut(&flow) else {
-            return self.search(context, head);
+            return self.search(context, header);
         };
         entry.used_at = context.now;
         let agent = entry.agent;
         let reason = match entry.stage {
-            FlowStage::Unheld | FlowStage::Queued => return self.search(context, head),
+            FlowStage::NotFound | FlowStage::Queued => return self.search(context, header),
             FlowStage::Searching if search::is_stalled(entry, context.now) => {
-                return self.search_past_silence(context, head);
+                return self.search_past_silence(context, header);
             }
-            FlowStage::Searching => return self.join_search(context, head),
+            FlowStage::Searching => return self.join_search(context, header),
             FlowStage::Opening | FlowStage::Held => ForwardReason::Held,
         };
         let service = service_of(context.view, &flow, agent);
@@ -331,7 +337,7 @@
                 let service = service_of(context.view, flow, agent);
                 Some(Decision::forward(agent, service, ForwardReason::Held))
             }
-            FlowStage::Unheld => {
+            FlowStage::NotFound => {
                 entry.note_returned(from);
                 Some(Decision::Drop(DropReason::NobodyHoldsYet))
             }
@@ -350,8 +356,8 @@
     }
 
     /// The outcome for a packet to an address without a route.
-    fn without_route(view: &FleetView, head: &PacketHead) -> Decision {
-        let sequence = if head.is_opening() { 0 } else { head.acknowledgment };
+    fn without_route(view: &FleetView, header: &PacketHeader) -> Decision {
+        let sequence = if header.is_opening() { 0 } else { header.acknowledgment };
         match view.label() {
             None => Decision::Drop(DropReason::NoConfiguration),
             Some(_) => Decision::Reset { sequence, reason: ResetReason::NoRoute },
--- a/crates/steering/src/balancer/opening.rs
+++ b/crates/steering/src/balancer/opening.rs
@@ -11,9 +11,9 @@
 use super::{Balancer, ClientPacket, Context, service_of};
 use crate::expected_time::expected_ms;
 use crate::flow_table::{FlowEntry, FlowStage};
-use crate::packet::{FlowKey, OPENING_SPAN_MS, PacketHead};
+use crate::packet::{FlowKey, OPENING_SPAN_MS, PacketHeader};
 use crate::selection::{cheapest, load_permille, rendezvous_order};
-use crate::view::{Candidate, Distance, RouteChoice, Standing};
+use crate::view::{Availability, Candidate, CompiledRoute, Distance};
 
 /// Targets compared by load. Two even out almost as well as all would (the power
 /// of two choices) and keep the flow near the front of its order, where a balancer
@@ -52,7 +52,7 @@
         packet: ClientPacket<'_>,
     ) -> Decision {
         let now = context.now;
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         if self.is_queued(&flow) {
             return Decision::Drop(DropReason::OpeningQueued);
         }
@@ -99,10 +99,10 @@
         if let Some(decision) = self.returned_to_queue(context, packet, from, returned) {
             return decision;
         }
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         let goes_on = match returned {
             ReturnReason::Busy => false,
-            ReturnReason::Failing => self.passes_failing(context, packet.head),
+            ReturnReason::Failing => self.passes_failing(context, packet.header),
             ReturnReason::Bounced | ReturnReason::OtherService => true,
             ReturnReason::Leaving | ReturnReason::Evacuated => {
                 self.forget_wait(&flow);
@@ -132,14 +132,14 @@
 
     /// Whether an opening packet that a failing target sent back tries another one: only
     /// a few times, as most of them may fail.
-    fn passes_failing(&mut self, context: &Context<'_>, head: &PacketHead) -> bool {
-        let flow = head.client_flow();
+    fn passes_failing(&mut self, context: &Context<'_>, header: &PacketHeader) -> bool {
+        let flow = header.client_flow();
         let Some(entry) = self.flows.get_mut(&flow) else { return true };
         entry.failing_returns += 1;
         if entry.failing_returns >= MOST_FAILING_RETURNS {
             return false;
         }
-        let Some(route) = context.view.route(head.destination) else { return false };
+        let Some(route) = context.view.route(header.destination) else { return false };
         route.pick(flow.hash()).is_some_and(|service| {
             let eligible = self.eligible(context, route, service, flow.hash());
             !eligible.without(self.flows.tried(&flow)).is_empty()
@@ -153,10 +153,10 @@
         packet: ClientPacket<'_>,
         reason: ForwardReason,
     ) -> Decision {
-        let (now, head) = (context.now, packet.head);
-        let flow = head.client_flow();
-        let Some(route) = context.view.route(head.destination) else {
-            return Self::without_route(context.view, head);
+        let (now, header) = (context.now, packet.header);
+        let flow = header.client_flow();
+        let Some(route) = context.view.route(header.destination) else {
+            return Self::without_route(context.view, header);
         };
         let Some(service) = route.pick(flow.hash()) else {
             return Decision::Reset { sequence: 0, reason: ResetReason::NoTarget };
@@ -182,11 +182,11 @@
             expected_ms: expected_ms(&chosen, &self.statuses, now),
             load_age_ms: self.statuses.age(chosen.agent, now),
         };
-        self.statuses.sent_opening(chosen.agent, now);
+        self.statuses.note_opening_sent(chosen.agent, now);
         let is_new = self.flows.get_mut(&flow).is_none();
         self.go_to(flow, chosen.agent, FlowStage::Opening, now);
         if is_new {
-            self.note_first_packet(head, now);
+            self.note_first_packet(header, now);
         }
         let forward = Forward::to(chosen.agent, service, reason);
         let (urgent, inputs) = (route.is_urgent(), Some(inputs));
@@ -224,7 +224,7 @@
         let service = route.and_then(|route| route.pick(flow.hash()));
         let (Some(route), Some(service)) = (route, service) else { return false };
         context.view.candidates(service).iter().any(|candidate| {
-            candidate.standing == Standing::Ready
+            candidate.availability == Availability::Ready
                 && candidate.evacuated
                 && route.allows(candidate.region)
         })
@@ -235,14 +235,14 @@
     pub(super) fn eligible(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         service: ServiceId,
         flow_hash: u64,
     ) -> Eligible {
         let now = context.now;
         let candidates = context.view.candidates(service);
         let is_ready = |candidate: &&Candidate| {
-            candidate.standing == Standing::Ready
+            candidate.availability == Availability::Ready
                 && !candidate.evacuated
                 && route.allows(candidate.region)
         };
@@ -274,16 +274,16 @@
         let now = context.now;
         let unsettled = !context.fresh || self.is_unsettled(now);
         let grace_ms = self.timing.vanished_grace_ms;
-        let may_live = |candidate: &&Candidate| match candidate.standing {
-            Standing::Vanished(at) => {
+        let may_live = |candidate: &&Candidate| match candidate.availability {
+            Availability::Removed(at) => {
                 !candidate.evacuated && (unsettled || now.saturating_sub(at) < grace_ms)
             }
-            Standing::Ready | Standing::Leaving => false,
+            Availability::Ready | Availability::Leaving => false,
         };
         let mut unrecorded: Vec<Candidate> = candidates.iter().filter(may_live).copied().collect();
         if unsettled {
-            for agent in self.statuses.claimants(service, now) {
-                let zone = self.statuses.claimed_zone(agent);
+            for agent in self.statuses.agents_with_target(service, now) {
+                let zone = self.statuses.reported_zone(agent);
                 let is_evacuated = zone.is_some_and(|zone| context.view.is_evacuated(zone));
                 let is_known = candidates.iter().any(|candidate| candidate.agent == agent);
                 if !is_known && !is_evacuated {
@@ -300,7 +300,7 @@
 fn claimed_candidate(agent: Ipv4Addr, region: Option<RegionId>, now: Millis) -> Candidate {
     Candidate {
         agent,
-        standing: Standing::Vanished(now),
+        availability: Availability::Removed(now),
         recorded: false,
         evacuated: false,
         slots: 1,
--- a/crates/steering/src/balancer/opening_queue.rs
+++ b/crates/steering/src/balancer/opening_queue.rs
@@ -4,7 +4,7 @@
 
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId, WaitingOpenings};
 
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 /// Most openings that wait, of all services: what a balancer forwards within the longest
 /// budget at 3,000 openings a second.
@@ -36,7 +36,7 @@
 /// An opening packet that waits.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedOpening {
-    pub(super) head: PacketHead,
+    pub(super) header: PacketHeader,
     pub(super) bytes: Vec<u8>,
     pub(super) class: QueueClass,
     /// When it began to wait.
@@ -74,7 +74,7 @@
 
     /// Adds an opening whose flow does not wait yet. Returns whether there was a place.
     pub(super) fn push(&mut self, opening: QueuedOpening, turn: Turn) -> bool {
-        let flow = opening.head.client_flow();
+        let flow = opening.header.client_flow();
         if self.places.len() >= self.capacity || self.contains(&flow) {
             return false;
         }
--- a/crates/steering/src/balancer/queue_delay.rs
+++ b/crates/steering/src/balancer/queue_delay.rs
@@ -7,7 +7,7 @@
 
 use weirhinge_fleet::Millis;
 
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 
 /// Length of a bucket in which admissions are counted.
 const BUCKET_MS: Millis = 25;
@@ -174,7 +174,7 @@
     expected_wait: Option<Millis>,
     ahead: usize,
     budget_ms: Millis,
-    rank: CallerRank,
+    rank: ClientRank,
 ) -> bool {
     if budget_ms == 0 {
         return false;
@@ -187,7 +187,7 @@
 
 /// `whole * (1 - 0.75 * rank)`, the rank of a caller with no more than its share being
 /// between 0 and 1.
-fn ranked_part(whole: u64, rank: CallerRank) -> u64 {
+fn ranked_part(whole: u64, rank: ClientRank) -> u64 {
     const RANGE: u64 = 1 << 16;
     let share = (4 * RANGE).saturating_sub(3 * u64::from(rank.value()));
     whole.saturating_mul(share) / (4 * RANGE)
--- a/crates/steering/src/balancer/queueing.rs
+++ b/crates/steering/src/balancer/queueing.rs
@@ -14,11 +14,11 @@
 use super::opening_queue::{QueueClass, QueuedOpening, Turn};
 use super::queue_delay::may_wait;
 use super::{Balancer, ClientPacket, Context};
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 use crate::flow_table::FlowStage;
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 use crate::selection::TargetCosts;
-use crate::view::{Candidate, Distance, RouteChoice};
+use crate::view::{Candidate, CompiledRoute, Distance};
 
 /// Time of a flow that neither the queue nor the target sees: a handshake and the way of the
 /// request and its answer, between zones.
@@ -35,7 +35,7 @@
 
 /// Where an opening is to wait.
 pub(super) struct QueuePlace<'a> {
-    pub(super) route: &'a RouteChoice,
+    pub(super) route: &'a CompiledRoute,
     pub(super) service: ServiceId,
     pub(super) turn: Turn,
     /// The answering targets that may take it.
@@ -51,7 +51,7 @@
 }
 
 impl Budget {
-    fn new(route: &RouteChoice, first_at: Millis, service_ms: Millis) -> Self {
+    fn new(route: &CompiledRoute, first_at: Millis, service_ms: Millis) -> Self {
         let needed_ms = service_ms + JOURNEY_MS;
         let before = |limit: Millis| first_at + limit.saturating_sub(needed_ms);
         let attempt_end = first_at + ATTEMPT_MS - JOURNEY_MS;
@@ -70,7 +70,7 @@
 
 impl Balancer {
     /// Whether an opening that comes now queues behind others of its class.
-    pub(super) fn must_queue(&self, route: &RouteChoice, service: ServiceId) -> bool {
+    pub(super) fn must_queue(&self, route: &CompiledRoute, service: ServiceId) -> bool {
         let class = QueueClass { service, urgent: route.is_urgent() };
         route.objective_ms().is_some() && self.late_binding.waiting(class) > 0
     }
@@ -82,8 +82,8 @@
         packet: ClientPacket<'_>,
         place: &QueuePlace<'_>,
     ) -> Decision {
-        let (now, flow) = (context.now, packet.head.client_flow());
-        let (first_at, queued_at) = self.note_queued(packet.head, now);
+        let (now, flow) = (context.now, packet.header.client_flow());
+        let (first_at, queued_at) = self.note_queued(packet.header, now);
         let service = place.service;
         let class = QueueClass { service, urgent: place.route.is_urgent() };
         let waiting = self.late_binding.waiting(class);
@@ -96,7 +96,7 @@
         let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms };
         let rank = match self.late_binding.note_arrival(class, now) {
             // Nobody has to be refused for others to be in time.
-            Trend::Draining => CallerRank::SERVED_FIRST,
+            Trend::Draining => ClientRank::SERVED_FIRST,
             Trend::Growing => self.late_binding.rank(*flow.client.ip(), context.unix_ms, now),
         };
         let may_wait = match place.turn {
@@ -105,8 +105,8 @@
         };
         // In a crowd most are refused: only what waits is copied.
         let opening = || {
-            let (head, bytes) = (*packet.head, packet.bytes.to_vec());
-            QueuedOpening { head, bytes, class, queued_at, budget_end }
+            let (header, bytes) = (*packet.header, packet.bytes.to_vec());
+            QueuedOpening { header, bytes, class, queued_at, budget_end }
         };
         if !may_wait || !self.late_binding.push(opening(), place.turn, now) {
             return self.refuse(&flow, ResetReason::Overloaded { inputs });
@@ -118,12 +118,12 @@
 
     /// Notes in a flow's entry that its opening waits. Returns when the flow began and when
     /// its opening first began to wait.
-    fn note_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
-        let flow = head.client_flow();
+    fn note_queued(&mut self, header: &PacketHeader, now: Millis) -> (Millis, Millis) {
+        let flow = header.client_flow();
         if self.flows.get_mut(&flow).is_none() {
             let nowhere = Ipv4Addr::UNSPECIFIED;
             self.go_to(flow, nowhere, FlowStage::Queued, now);
-            self.note_first_packet(head, now);
+            self.note_first_packet(header, now);
         }
         let Some(entry) = self.flows.get_mut(&flow) else { return (now, now) };
         entry.stage = FlowStage::Queued;
@@ -135,9 +135,9 @@
 
     /// Notes in a new flow's entry when its first packet came, which another balancer may
     /// have got and sent to a target.
-    pub(super) fn note_first_packet(&mut self, head: &PacketHead, now: Millis) {
-        let Some(entry) = self.flows.get_mut(&head.client_flow()) else { return };
-        let copies = usize::try_from(head.acknowledgment).unwrap_or(usize::MAX);
+    pub(super) fn note_first_packet(&mut self, header: &PacketHeader, now: Millis) {
+        let Some(entry) = self.flows.get_mut(&header.client_flow()) else { return };
+        let copies = usize::try_from(header.acknowledgment).unwrap_or(usize::MAX);
         let age_ms = COPIES_AFTER_MS[copies.min(COPIES_AFTER_MS.len() - 1)];
         entry.first_at = now.saturating_sub(age_ms);
         entry.may_be_open = copies > 0;
@@ -175,8 +175,8 @@
         from: Ipv4Addr,
         returned: ReturnReason,
     ) -> Option<Decision> {
-        let flow = packet.head.client_flow();
-        let route = context.view.route(packet.head.destination)?;
+        let flow = packet.header.client_flow();
+        let route = context.view.route(packet.header.destination)?;
         route.objective_ms()?;
         let service = route.pick(flow.hash())?;
         let entry = self.flows.get_mut(&flow).filter(|entry| !entry.has_waited)?;
--- a/crates/steering/src/balancer/search.rs
+++ b/crates/steering/src/balancer/search.rs
@@ -8,7 +8,7 @@
 use super::search_order::SearchPlace;
 use super::{Balancer, ClientPacket, Context, service_of};
 use crate::flow_table::{FlowEntry, FlowStage};
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 /// A search that got no answer from a target for this long tries the next one.
 const SEARCH_STEP_MS: Millis = 120;
@@ -35,37 +35,38 @@
 const CLAIMS_KNOWN_MS: Millis = 250;
 impl Balancer {
     /// Sends a packet of an unknown flow to the next targets that may hold it.
-    pub(super) fn search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
-        let flow = head.client_flow();
-        let Some(route) = context.view.route(head.destination) else {
-            return Self::without_route(context.view, head);
+    pub(super) fn search(&mut self, context: &Context<'_>, header: &PacketHeader) -> Decision {
+        let flow = header.client_flow();
+        let Some(route) = context.view.route(header.destination) else {
+            return Self::without_route(context.view, header);
         };
-        let is_under_way = self.flows.get_mut(&flow).is_some_and(|entry| !entry.asked.is_empty());
+        let is_under_way =
+            self.flows.get_mut(&flow).is_some_and(|entry| !entry.search_paths.is_empty());
         if is_under_way {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
         self.route_history.note(context.view);
         let untried = self.untried_places(context, route, &flow);
         let Some(first) = untried.first() else {
-            return self.search_failed(context, &flow, head);
+            return self.search_failed(context, &flow, header);
         };
-        let at_once = self.search_outcomes.are_mostly_in_vain(context.now);
+        let at_once = self.search_outcomes.are_mostly_unsuccessful(context.now);
         let rows = match self.flows.get_mut(&flow) {
             Some(entry) => next_rows(&untried, entry, at_once),
             None => next_rows(
                 &untried,
-                &FlowEntry::new(first.agent, FlowStage::Unheld, context.now),
+                &FlowEntry::new(first.agent, FlowStage::NotFound, context.now),
                 at_once,
             ),
         };
-        if let Err(wait_ms) = self.search_budget.take(rows.len(), head.length, context.now) {
-            self.go_to(flow, first.agent, FlowStage::Unheld, context.now);
+        if let Err(wait_ms) = self.search_budget.take(rows.len(), header.length, context.now) {
+            self.go_to(flow, first.agent, FlowStage::NotFound, context.now);
             return Decision::Drop(DropReason::SearchWaits { wait_ms });
         }
         self.go_to(flow, first.agent, FlowStage::Searching, context.now);
         let decision = Decision::search(&rows, first.service);
         if let Some(entry) = self.flows.get_mut(&flow) {
-            entry.asked = rows;
+            entry.search_paths = rows;
             entry.waves += 1;
         }
         decision
@@ -73,16 +74,17 @@
 
     /// Sends a further packet of a flow the way of the search under way, while that is
     /// one row. With more rows its client sends it again when the target is found.
-    pub(super) fn join_search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
-        let flow = &head.client_flow();
-        let Some(entry) = self.flows.get_mut(flow).filter(|entry| entry.asked.len() == 1) else {
+    pub(super) fn join_search(&mut self, context: &Context<'_>, header: &PacketHeader) -> Decision {
+        let flow = &header.client_flow();
+        let Some(entry) = self.flows.get_mut(flow).filter(|entry| entry.search_paths.len() == 1)
+        else {
             return Decision::Drop(DropReason::SearchGoesOn);
         };
-        if self.search_budget.take(entry.asked.len(), head.length, context.now).is_err() {
+        if self.search_budget.take(entry.search_paths.len(), header.length, context.now).is_err() {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
         let service = service_of(context.view, flow, entry.agent);
-        Decision::search(&entry.asked, service)
+        Decision::search(&entry.search_paths, service)
     }
 
     /// Goes past targets that did not answer. Any of a row may be the one that does not:
@@ -90,15 +92,16 @@
     pub(super) fn search_past_silence(
         &mut self,
         context: &Context<'_>,
-        head: &PacketHead,
+        header: &PacketHeader,
     ) -> Decision {
-        let flow = head.client_flow();
-        let asked = self.flows.get_mut(&flow).map(|entry| std::mem::take(&mut entry.asked));
+        let flow = header.client_flow();
+        let search_paths =
+            self.flows.get_mut(&flow).map(|entry| std::mem::take(&mut entry.search_paths));
         let (rows, alone): (Vec<_>, Vec<_>) =
-            asked.unwrap_or_default().into_iter().partition(|row| row.len() > 1);
+            search_paths.unwrap_or_default().into_iter().partition(|row| row.len() > 1);
         let silent: Vec<Ipv4Addr> = alone.into_iter().flatten().collect();
         for agent in &silent {
-            self.statuses.ignored_search(*agent, context.now);
+            self.statuses.note_unanswered_search(*agent, context.now);
         }
         let route = context.view.route(flow.service);
         let may_hold = |agent: &&Ipv4Addr| {
@@ -108,9 +111,9 @@
         if let Some(entry) = self.flows.get_mut(&flow) {
             entry.tried.extend(silent);
             entry.unanswered.extend(unanswered);
-            entry.doubtful = rows.into_iter().flatten().collect();
+            entry.possibly_unresponsive = rows.into_iter().flatten().collect();
         }
-        self.search(context, head)
+        self.search(context, header)
     }
 
     /// Keeps a copy of a packet that looks for its target, or drops the copy when
@@ -121,7 +124,7 @@
         packet: ClientPacket<'_>,
         context: &Context<'_>,
     ) {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         if *decision == Decision::Drop(DropReason::SearchGoesOn) {
             // Those asked still have the rest of their time to answer.
             return;
@@ -137,7 +140,7 @@
                 Decision::Drop(DropReason::SearchWaits { wait_ms }) => *wait_ms,
                 _ => self.wait_of_search(context, &flow),
             };
-            self.searches.keep(flow, packet.head, packet.bytes, wait_ms, context.now);
+            self.searches.keep(flow, packet.header, packet.bytes, wait_ms, context.now);
         } else {
             self.searches.remove(&flow);
         }
@@ -148,8 +151,9 @@
     fn wait_of_search(&mut self, context: &Context<'_>, flow: &FlowKey) -> Millis {
         let certain = self.knows_all_targets(context);
         let entry = self.flows.get_mut(flow).filter(|_| certain);
-        let is_unheld = entry
-            .is_some_and(|entry| entry.stage == FlowStage::Unheld && entry.unheld_since.is_some());
+        let is_unheld = entry.is_some_and(|entry| {
+            entry.stage == FlowStage::NotFound && entry.not_found_since.is_some()
+        });
         if is_unheld { GIVE_UP_AFTER_MS } else { SEARCH_STEP_MS }
     }
 
@@ -159,19 +163,19 @@
     }
 
     /// The packets whose search got no answer in time, for [`Self::search_again`].
-    pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHeader, Vec<u8>)> {
         self.searches.take_due(now, SEARCH_STEP_MS)
     }
 
     /// Goes on with the search of a packet from [`Self::due_searches`].
     pub fn search_again(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         let stage = self.flows.get_mut(&flow).map(|entry| entry.stage);
-        if !matches!(stage, Some(FlowStage::Searching | FlowStage::Unheld)) {
+        if !matches!(stage, Some(FlowStage::Searching | FlowStage::NotFound)) {
             self.searches.remove(&flow);
             return Decision::Drop(DropReason::SearchEnded);
         }
-        let decision = self.later_packet(context, packet.head);
+        let decision = self.later_packet(context, packet.header);
         self.keep_for_search(&decision, packet, context);
         decision
     }
@@ -181,31 +185,31 @@
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
-        head: &PacketHead,
+        header: &PacketHeader,
     ) -> Decision {
         let now = context.now;
         let certain = self.knows_all_targets(context);
         let Some(entry) = self.flows.get_mut(flow) else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
-        entry.end_round();
-        entry.stage = FlowStage::Unheld;
+        entry.reset_search();
+        entry.stage = FlowStage::NotFound;
         // A target that did not answer may hold the flow, and is asked again. One that
         // sent its packet back does not, and never will.
         if !entry.unanswered.is_empty() {
             for agent in std::mem::take(&mut entry.unanswered) {
                 entry.tried.remove(&agent);
             }
-            entry.unheld_since = None;
+            entry.not_found_since = None;
             return Decision::Drop(DropReason::NobodyHoldsYet);
         }
-        if entry.unheld_since.is_none() {
+        if entry.not_found_since.is_none() {
             self.search_outcomes.note(true, now);
         }
-        let first = *entry.unheld_since.get_or_insert(now);
-        if certain && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !head.flags.rst {
+        let first = *entry.not_found_since.get_or_insert(now);
+        if certain && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !header.flags.rst {
             self.flows.remove(flow);
-            let sequence = head.acknowledgment;
+            let sequence = header.acknowledgment;
             return Decision::Reset { sequence, reason: ResetReason::NobodyHolds };
         }
         Decision::Drop(DropReason::NobodyHoldsYet)
@@ -217,15 +221,17 @@
 /// them the silent ones, each alone.
 fn next_rows(untried: &[SearchPlace], entry: &FlowEntry, at_once: bool) -> Vec<Vec<Ipv4Addr>> {
     let answering = untried.iter().take_while(|place| !place.is_silent);
-    let (doubtful, fresh): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) =
-        answering.map(|place| place.agent).partition(|agent| entry.doubtful.contains(agent));
-    if doubtful.is_empty() && fresh.is_empty() {
+    let (possibly_unresponsive, fresh): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = answering
+        .map(|place| place.agent)
+        .partition(|agent| entry.possibly_unresponsive.contains(agent));
+    if possibly_unresponsive.is_empty() && fresh.is_empty() {
         return untried.iter().take(MOST_ROWS).map(|place| vec![place.agent]).collect();
     }
-    let shorter = doubtful.len().div_ceil(ROWS_AFTER_SILENCE).clamp(1, ASKED_IN_TURN);
+    let shorter = possibly_unresponsive.len().div_ceil(ROWS_AFTER_SILENCE).clamp(1, ASKED_IN_TURN);
     let growing = ROWS_GROWTH.saturating_pow(entry.waves).min(MOST_ROWS);
     let most_fresh = if at_once { MOST_ROWS } else { growing };
-    let rows = doubtful.chunks(shorter).chain(fresh.chunks(ASKED_IN_TURN).take(most_fresh));
+    let rows =
+        possibly_unresponsive.chunks(shorter).chain(fresh.chunks(ASKED_IN_TURN).take(most_fresh));
     rows.take(MOST_ROWS).map(<[Ipv4Addr]>::to_vec).collect()
 }
 
--- a/crates/steering/src/balancer/search_order.rs
+++ b/crates/steering/src/balancer/search_order.rs
@@ -12,8 +12,8 @@
 
 use super::{Balancer, Context};
 use crate::packet::FlowKey;
-use crate::selection::{rank, rendezvous_order};
-use crate::view::{Candidate, Distance, RouteChoice, Standing};
+use crate::selection::{rendezvous_order, rendezvous_weight};
+use crate::view::{Availability, Candidate, CompiledRoute, Distance};
 
 /// A target that left the store and whose agent was silent for this long does not
 /// hold up the giving up of a flow.
@@ -36,7 +36,7 @@
     pub(super) fn untried_places(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow: &FlowKey,
     ) -> Vec<SearchPlace> {
         let tried = self.flows.tried(flow);
@@ -57,7 +57,7 @@
     fn named_places(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow_hash: u64,
     ) -> Vec<SearchPlace> {
         let mut places: Vec<SearchPlace> = Vec::new();
@@ -72,7 +72,7 @@
                 }
                 places.push(self.search_place(service, &candidate, context.now));
             }
-            for agent in self.statuses.claimants(service, context.now) {
+            for agent in self.statuses.agents_with_target(service, context.now) {
                 if self.may_be_asked_unrecorded(context, route, agent) && listed.insert(agent) {
                     places.push(claimed_place(service, agent));
                 }
@@ -86,7 +86,7 @@
     fn further_places(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow_hash: u64,
     ) -> Vec<SearchPlace> {
         let named: HashSet<ServiceId> = route.services().collect();
@@ -103,14 +103,14 @@
         let mut places: Vec<SearchPlace> = recorded
             .map(|(service, candidate)| self.search_place(service, candidate, context.now))
             .collect();
-        let claimants = self.statuses.claimants_outside(&named, context.now);
-        let unrecorded = claimants.into_iter().filter(|(service, agent)| {
+        let agents_with_target = self.statuses.agents_with_target_outside(&named, context.now);
+        let unrecorded = agents_with_target.into_iter().filter(|(service, agent)| {
             may_hold(*service, *agent)
-                && context.view.target_beside(*agent).is_none()
+                && context.view.target_of_agent(*agent).is_none()
                 && self.may_be_asked_unrecorded(context, route, *agent)
         });
         places.extend(unrecorded.map(|(service, agent)| claimed_place(service, agent)));
-        places.sort_by_key(|place| Reverse(rank(flow_hash, place.agent)));
+        places.sort_by_key(|place| Reverse(rendezvous_weight(flow_hash, place.agent)));
         places
     }
 
@@ -118,21 +118,21 @@
     fn may_be_asked_unrecorded(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         agent: Ipv4Addr,
     ) -> bool {
         let certain = self.knows_all_targets(context);
-        let is_mute = certain && self.statuses.is_mute(agent, context.now);
-        let zone = self.statuses.claimed_zone(agent);
+        let is_unresponsive = certain && self.statuses.is_unresponsive(agent, context.now);
+        let zone = self.statuses.reported_zone(agent);
         let region = zone.and_then(|zone| context.view.region_of(zone));
-        !is_mute && route.allows(region)
+        !is_unresponsive && route.allows(region)
     }
 
     fn search_place(&self, service: ServiceId, candidate: &Candidate, now: Millis) -> SearchPlace {
         let agent = candidate.agent;
         let is_silent = self.has_left(candidate, now)
             || self.statuses.is_suspect(candidate, now)
-            || self.statuses.is_mute(agent, now);
+            || self.statuses.is_unresponsive(agent, now);
         SearchPlace { service, agent, is_silent, is_far: candidate.distance == Distance::Far }
     }
 
@@ -140,7 +140,7 @@
     fn has_left(&self, candidate: &Candidate, now: Millis) -> bool {
         let age = self.statuses.age(candidate.agent, now);
         let is_silent = age.is_none_or(|age| age >= SILENT_LEAVER_MS);
-        candidate.standing != Standing::Ready && is_silent
+        candidate.availability != Availability::Ready && is_silent
     }
 
     /// Whether a target has ended: its agent said so, or it left the store and answered
@@ -149,26 +149,28 @@
     fn is_gone_for_good(&self, context: &Context<'_>, candidate: &Candidate) -> bool {
         let is_settled = context.fresh && !self.is_unsettled(context.now);
         let agent = candidate.agent;
-        let is_mute = self.statuses.is_persistently_mute(agent, context.now);
-        self.statuses.has_ended(candidate) || (!candidate.recorded && is_settled && is_mute)
+        let is_unresponsive = self.statuses.is_persistently_unresponsive(agent, context.now);
+        self.statuses.has_ended(candidate) || (!candidate.recorded && is_settled && is_unresponsive)
     }
 
     /// Whether nobody was ever heard at an agent's address, which left a search unanswered
     /// as well: an entry of another writer may name a machine that never was one of ours.
     fn is_stray(&self, agent: Ipv4Addr, now: Millis) -> bool {
         let had_time = now >= self.regained_at + SILENT_LEAVER_MS;
-        had_time && self.statuses.age(agent, now).is_none() && self.statuses.is_mute(agent, now)
+        had_time
+            && self.statuses.age(agent, now).is_none()
+            && self.statuses.is_unresponsive(agent, now)
     }
 
     /// Whether a target that does not answer is most likely gone.
     pub(super) fn may_be_gone(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         agent: Ipv4Addr,
     ) -> bool {
         let now = context.now;
-        let Some((service, candidate)) = context.view.target_beside(agent) else { return true };
+        let Some((service, candidate)) = context.view.target_of_agent(agent) else { return true };
         let is_named = route.services().any(|named| named == service);
         self.has_left(candidate, now)
             || self.is_gone_for_good(context, candidate)
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -8,7 +8,7 @@
 
 use super::decision::{Decision, DropReason};
 use super::{Balancer, ClientPacket, Context};
-use crate::packet::PacketHead;
+use crate::packet::PacketHeader;
 use crate::pending_packets::PendingPackets;
 use crate::view::VersionLabel;
 
@@ -48,7 +48,7 @@
     }
 
     /// All packets if there is news.
-    fn look(&mut self, known: Knowledge, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    fn look(&mut self, known: Knowledge, now: Millis) -> Vec<(PacketHeader, Vec<u8>)> {
         self.looked_at = now;
         if known == self.known {
             self.packets.expire(now);
@@ -68,9 +68,9 @@
         packet: ClientPacket<'_>,
         now: Millis,
     ) {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         if is_undecided(decision) {
-            self.undecided.packets.keep(flow, packet.head, packet.bytes, 0, now);
+            self.undecided.packets.keep(flow, packet.header, packet.bytes, 0, now);
         } else {
             self.undecided.packets.remove(&flow);
         }
@@ -78,13 +78,13 @@
 
     /// The packets to be decided about once more by [`Self::decide_again`], the newest
     /// first; none while nothing was learned that would change the outcome.
-    pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHeader, Vec<u8>)> {
         let known = Knowledge {
             label: context.view.label(),
             targets: context.view.target_count(),
-            claims: self.statuses.claims_seen(),
+            claims: self.statuses.targets_reported(),
             helpers: context.helpers.len(),
-            evacuated: context.view.evacuated_count(),
+            evacuated: context.view.evacuated_zone_count(),
         };
         self.undecided.look(known, context.now)
     }
--- a/crates/steering/src/caller_rank.rs
+++ b/crates/steering/src/client_rank.rs
@@ -30,13 +30,13 @@
 /// A client's position in the order in which clients are served. Within the fair share, 0 is served
 /// first and 65,535 is rejected first; clients over their share come after 65,535.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallerRank(u32);
+pub struct ClientRank(u32);
 
-impl CallerRank {
+impl ClientRank {
     /// The rank that is served before all others.
-    pub const SERVED_FIRST: CallerRank = CallerRank(0);
+    pub const SERVED_FIRST: ClientRank = ClientRank(0);
     /// The rank that is rejected first among clients within their fair share.
-    pub const REFUSED_FIRST: CallerRank = CallerRank(RANK_RANGE - 1);
+    pub const REFUSED_FIRST: ClientRank = ClientRank(RANK_RANGE - 1);
 
     /// Returns the rank as a number; 65,536 is the end of the range within the fair share.
     pub fn value(self) -> u32 {
@@ -45,7 +45,7 @@
 
     /// Returns the rank of a client that already uses this many times its fair share. It
     /// comes after all clients that use fewer, and in the order of the original ranks among equals.
-    pub fn with_shares(self, shares_used: u32) -> Self {
+    pub fn with_shares_used(self, shares_used: u32) -> Self {
         if shares_used == 0 {
             return self;
         }
@@ -57,7 +57,7 @@
     }
 }
 
-impl From<u16> for CallerRank {
+impl From<u16> for ClientRank {
     fn from(value: u16) -> Self {
         Self(u32::from(value))
     }
@@ -65,12 +65,12 @@
 
 /// Returns the rank of a client at a time of day, in milliseconds since 1970. Epochs of different
 /// clients begin at different times, so that not all ranks change at once.
-pub fn caller_rank(client_address: Ipv4Addr, unix_ms: u64) -> CallerRank {
+pub fn client_rank(client_address: Ipv4Addr, unix_ms: u64) -> ClientRank {
     let hash = address_hash(client_address);
     let base = hash as u16;
     let epoch_shift = (hash >> 16) % RANK_EPOCH_MS;
     let epoch = unix_ms.wrapping_add(epoch_shift) / RANK_EPOCH_MS;
-    CallerRank::from(base.wrapping_add((epoch as u16).wrapping_mul(EPOCH_STEP)))
+    ClientRank::from(base.wrapping_add((epoch as u16).wrapping_mul(EPOCH_STEP)))
 }
 
 /// Hashes a client's address to the same value in every daemon.
--- a/crates/steering/src/flow_table.rs
+++ b/crates/steering/src/flow_table.rs
@@ -17,7 +17,7 @@
     /// The balancer does not know which target holds the flow and is searching for it.
     Searching,
     /// A search found no target that holds the flow; the next packet starts another search.
-    Unheld,
+    NotFound,
     /// The target holds the flow or has answered its opening packet.
     Held,
 }
@@ -37,14 +37,14 @@
     /// without an allocation.
     pub tried: BTreeSet<Ipv4Addr>,
     /// The paths of agents that search packets are visiting now. Empty while no search is running.
-    pub asked: Vec<Vec<Ipv4Addr>>,
+    pub search_paths: Vec<Vec<Ipv4Addr>>,
     /// Number of waves of search packets sent so far.
     pub waves: u32,
     /// Agents of paths from which the search packet did not return: any of them may be the
     /// unresponsive one.
-    pub doubtful: BTreeSet<Ipv4Addr>,
+    pub possibly_unresponsive: BTreeSet<Ipv4Addr>,
     /// When a search first found no target that holds the flow.
-    pub unheld_since: Option<Millis>,
+    pub not_found_since: Option<Millis>,
     /// Agents that left a search packet sent to them alone unanswered, and whose targets may hold
     /// the flow.
     pub unanswered: Vec<Ipv4Addr>,
@@ -72,10 +72,10 @@
             used_at: now,
             tried_at: now,
             tried: BTreeSet::new(),
-            asked: Vec::new(),
+            search_paths: Vec::new(),
             waves: 0,
-            doubtful: BTreeSet::new(),
-            unheld_since: None,
+            possibly_unresponsive: BTreeSet::new(),
+            not_found_since: None,
             unanswered: Vec::new(),
             has_waited: false,
             failing_returns: 0,
@@ -87,27 +87,27 @@
     }
 
     /// Records that an agent's target holds the flow.
-    pub fn hold(&mut self, agent: Ipv4Addr) {
+    pub fn set_holder(&mut self, agent: Ipv4Addr) {
         self.agent = agent;
         self.stage = FlowStage::Held;
         self.tried.clear();
-        self.end_round();
-        self.unheld_since = None;
+        self.reset_search();
+        self.not_found_since = None;
         self.unanswered.clear();
     }
 
     /// Resets the progress of the search; the next one starts with its first wave.
-    pub fn end_round(&mut self) {
-        self.asked.clear();
+    pub fn reset_search(&mut self) {
+        self.search_paths.clear();
         self.waves = 0;
-        self.doubtful.clear();
+        self.possibly_unresponsive.clear();
     }
 
     /// Records that an agent's target did not accept the flow's packet, nor did the targets that
     /// the packet visited before it. The agents after it on the path were not asked.
     pub fn note_returned(&mut self, agent: Ipv4Addr) {
-        let path = self.asked.iter().position(|path| path.contains(&agent));
-        let path = path.map(|index| self.asked.swap_remove(index)).unwrap_or_default();
+        let path = self.search_paths.iter().position(|path| path.contains(&agent));
+        let path = path.map(|index| self.search_paths.swap_remove(index)).unwrap_or_default();
         let visited = path.into_iter().take_while(|visited| *visited != agent);
         self.tried.extend(visited);
         self.tried.insert(agent);
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -11,19 +11,19 @@
 mod agent_status;
 mod arrival;
 mod balancer;
-mod caller_rank;
 mod class_share;
+mod client_rank;
 mod expected_time;
 mod flow_table;
 mod overload;
 mod packet;
+mod pending_openings;
 mod pending_packets;
 mod route_history;
 mod search_budget;
 mod search_outcomes;
 mod selection;
 mod view;
-mod waiting_room;
 
 pub use agent::{
     Agent, BreakerChange, ColdStartRate, DeliveryDecision, Grant, HoldsNotice, OutputDecision,
@@ -36,9 +36,11 @@
     DropReason, Forward, ForwardReason, GrantAnswer, QueueInputs, ResetReason, RoomGrant,
     RoomRequest, SelectionInputs, SettledOpening, may_wait,
 };
-pub use caller_rank::{CallerRank, RANK_EPOCH_MS, caller_rank};
+pub use client_rank::{ClientRank, RANK_EPOCH_MS, client_rank};
 pub use flow_table::{FlowEntry, FlowStage, FlowTable};
 pub use overload::{OverloadMonitor, PeerLoad};
-pub use packet::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHead};
-pub use view::{Candidate, Distance, FleetView, Locality, RouteChoice, Standing, VersionLabel};
-pub use waiting_room::WaitedOpening;
+pub use packet::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHeader};
+pub use pending_openings::PendingOpening;
+pub use view::{
+    Availability, Candidate, CompiledRoute, Distance, FleetView, Locality, VersionLabel,
+};
--- a/crates/steering/src/overload.rs
+++ b/crates/steering/src/overload.rs
@@ -53,7 +53,7 @@
 impl OverloadMonitor {
     /// Records the longest wait of a client packet since the last sample. Returns whether the
     /// balancer is now withdrawn.
-    pub fn look(&mut self, longest_wait_ms: Millis, peers: PeerLoad, now: Millis) -> bool {
+    pub fn observe(&mut self, longest_wait_ms: Millis, peers: PeerLoad, now: Millis) -> bool {
         let is_long = longest_wait_ms >= LONG_WAIT_MS;
         self.long_wait_samples = if is_long { self.long_wait_samples + 1 } else { 0 };
         match self.withdrawn_until {
--- a/crates/steering/src/packet.rs
+++ b/crates/steering/src/packet.rs
@@ -16,7 +16,7 @@
 pub enum MalformedPacket {
     /// Fewer bytes than a packet header has.
     #[error("packet is shorter than its header")]
-    ShortHead,
+    ShortHeader,
     /// The length field differs from the number of bytes after the header.
     #[error("length field differs from the length of the payload")]
     WrongLength,
@@ -29,7 +29,7 @@
     /// Returns the label that counters use.
     pub fn label(self) -> &'static str {
         match self {
-            MalformedPacket::ShortHead => "short_head",
+            MalformedPacket::ShortHeader => "short_head",
             MalformedPacket::WrongLength => "wrong_length",
             MalformedPacket::Oversized => "oversized",
         }
@@ -53,7 +53,7 @@
 
 /// The decoded header of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PacketHead {
+pub struct PacketHeader {
     /// The sender's address and port.
     pub source: SocketAddrV4,
     /// The receiver's address and port.
@@ -71,7 +71,7 @@
     pub echo: u32,
 }
 
-impl PacketHead {
+impl PacketHeader {
     /// Whether the packet opens a flow.
     pub fn is_opening(&self) -> bool {
         self.flags.syn && !self.flags.ack
--- a/crates/steering/src/pending_packets.rs
+++ b/crates/steering/src/pending_packets.rs
@@ -4,7 +4,7 @@
 
 use weirhinge_fleet::Millis;
 
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 /// Default and maximum number of buffered packets, one per flow: about 600 KB.
 const CAPACITY: usize = 512;
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Debug)]
 struct BufferedPacket {
-    head: PacketHead,
+    header: PacketHeader,
     bytes: Vec<u8>,
     buffered_at: Millis,
     /// When the packet is decided again unless something ends its wait before.
@@ -39,7 +39,7 @@
     pub fn keep(
         &mut self,
         flow: FlowKey,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         wait_ms: Millis,
         now: Millis,
@@ -53,7 +53,7 @@
             self.remove_oldest();
         }
         let buffered =
-            BufferedPacket { head: *head, bytes: packet.to_vec(), buffered_at: now, due_at };
+            BufferedPacket { header: *header, bytes: packet.to_vec(), buffered_at: now, due_at };
         self.packets.insert(flow, buffered);
     }
 
@@ -82,16 +82,16 @@
     /// Returns the packets that are due, the newest first: if there is time for only some, those
     /// are the ones that can still be in time. They stay in the buffer and are due again after
     /// another `wait_ms`.
-    pub fn take_due(&mut self, now: Millis, wait_ms: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn take_due(&mut self, now: Millis, wait_ms: Millis) -> Vec<(PacketHeader, Vec<u8>)> {
         self.expire(now);
         let mut due: Vec<&mut BufferedPacket> =
             self.packets.values_mut().filter(|packet| packet.due_at <= now).collect();
         due.sort_by_key(|packet| {
-            (std::cmp::Reverse(packet.buffered_at), packet.head.client_flow())
+            (std::cmp::Reverse(packet.buffered_at), packet.header.client_flow())
         });
         let renewed = due.into_iter().map(|packet| {
             packet.due_at = now + wait_ms;
-            (packet.head, packet.bytes.clone())
+            (packet.header, packet.bytes.clone())
         });
         renewed.collect()
     }
--- a/crates/steering/src/search_outcomes.rs
+++ b/crates/steering/src/search_outcomes.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether the next search will most likely be unsuccessful too.
-    pub(crate) fn are_mostly_in_vain(&self, now: Millis) -> bool {
+    pub(crate) fn are_mostly_unsuccessful(&self, now: Millis) -> bool {
         let is_recent = now.saturating_sub(self.latest_at) < LIFETIME_MS;
         is_recent && self.unsuccessful.count_ones() >= MOSTLY_UNSUCCESSFUL
     }
--- a/crates/steering/src/selection.rs
+++ b/crates/steering/src/selection.rs
@@ -23,7 +23,7 @@
 
 /// Returns the rendezvous-hashing weight of an agent for a flow, mixed with the finalizer of
 /// SplitMix64. When targets change, only the flows of the changed targets move.
-pub(crate) fn rank(flow_hash: u64, agent: Ipv4Addr) -> u64 {
+pub(crate) fn rendezvous_weight(flow_hash: u64, agent: Ipv4Addr) -> u64 {
     let mut value = flow_hash ^ u64::from(agent.to_bits()).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -36,13 +36,15 @@
     candidates: impl Iterator<Item = &'a Candidate>,
 ) -> Vec<Candidate> {
     let mut order: Vec<Candidate> = candidates.copied().collect();
-    order.sort_by_cached_key(|candidate| std::cmp::Reverse(rank(flow_hash, candidate.agent)));
+    order.sort_by_cached_key(|candidate| {
+        std::cmp::Reverse(rendezvous_weight(flow_hash, candidate.agent))
+    });
     order
 }
 
 /// Returns the first of these daemons in rendezvous order for a flow.
 pub fn rendezvous_first(flow_hash: u64, daemons: &[Ipv4Addr]) -> Option<Ipv4Addr> {
-    daemons.iter().copied().max_by_key(|daemon| rank(flow_hash, *daemon))
+    daemons.iter().copied().max_by_key(|daemon| rendezvous_weight(flow_hash, *daemon))
 }
 
 /// The cost of one more flow at each target: the time in which it is expected to answer if agents
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -19,7 +19,7 @@
 
 /// A route in the form that decisions use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RouteChoice {
+pub struct CompiledRoute {
     parts: Vec<(ServiceId, u32)>,
     priority: u32,
     urgent: bool,
@@ -29,7 +29,7 @@
     permitted_regions: Option<HashSet<RegionId>>,
 }
 
-impl RouteChoice {
+impl CompiledRoute {
     /// Returns the service for a flow with this hash; each part gets its weight's share of all
     /// hashes. None if no part has a weight.
     pub fn pick(&self, flow_hash: u64) -> Option<ServiceId> {
@@ -75,11 +75,11 @@
 
 /// Whether a target accepts new flows, according to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Availability {
     /// Accepts new flows.
     Ready,
     /// Its record was removed from the store at this time without being marked as draining before.
-    Vanished(Millis),
+    Removed(Millis),
     /// Draining: accepts no new flows but keeps its open ones.
     Leaving,
 }
@@ -149,7 +149,7 @@
     /// The address of the target's machine, where its agent listens.
     pub agent: Ipv4Addr,
     /// Whether it accepts new flows, according to the store.
-    pub standing: Standing,
+    pub availability: Availability,
     /// Whether its record is still in the store.
     pub recorded: bool,
     /// Whether its zone is evacuated: the target keeps its open flows and gets no new ones.
@@ -172,14 +172,14 @@
     /// Whether the target's current record, as ready, was received after this time. Reports that
     /// were received before then are about an earlier target at the same address.
     pub fn is_newer_than(&self, time: Millis) -> bool {
-        self.standing == Standing::Ready && self.recorded && self.learned_at > time
+        self.availability == Availability::Ready && self.recorded && self.learned_at > time
     }
 }
 
 /// All data about the fleet that steering decisions need, compiled from a replica.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    routes: HashMap<SocketAddrV4, RouteChoice>,
+    routes: HashMap<SocketAddrV4, CompiledRoute>,
     services: HashMap<ServiceId, Vec<Candidate>>,
     label: Option<VersionLabel>,
     idle_timeout_ms: Option<Millis>,
@@ -206,7 +206,7 @@
             let parts = route.parts.iter();
             let parts = parts.map(|part| (ServiceId::of(&part.service), part.weight)).collect();
             let allowed = route.permitted_regions.iter().map(|region| RegionId::of(region));
-            let choice = RouteChoice {
+            let choice = CompiledRoute {
                 parts,
                 priority: route.priority,
                 urgent: false,
@@ -235,7 +235,7 @@
     }
 
     /// Returns the route of an address and port.
-    pub fn route(&self, endpoint: SocketAddrV4) -> Option<&RouteChoice> {
+    pub fn route(&self, endpoint: SocketAddrV4) -> Option<&CompiledRoute> {
         self.routes.get(&endpoint)
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// Returns the known target of an agent, with its service.
-    pub fn target_beside(&self, agent: Ipv4Addr) -> Option<(ServiceId, &Candidate)> {
+    pub fn target_of_agent(&self, agent: Ipv4Addr) -> Option<(ServiceId, &Candidate)> {
         self.services.iter().find_map(|(service, candidates)| {
             let index = candidates.binary_search_by_key(&agent, |candidate| candidate.agent);
             index.ok().map(|index| (*service, &candidates[index]))
@@ -291,7 +291,7 @@
     }
 
     /// Returns the number of evacuated zones.
-    pub fn evacuated_count(&self) -> usize {
+    pub fn evacuated_zone_count(&self) -> usize {
         self.evacuated.len()
     }
 
@@ -303,14 +303,14 @@
     /// Returns the agents of all known targets of routed services.
     pub fn agents(&self) -> Vec<Ipv4Addr> {
         let routed: HashSet<ServiceId> =
-            self.routes.values().flat_map(RouteChoice::services).collect();
+            self.routes.values().flat_map(CompiledRoute::services).collect();
         let candidates = routed.into_iter().flat_map(|service| self.candidates(service));
         candidates.map(|candidate| candidate.agent).collect()
     }
 }
 
 /// Marks the routes that share a service with a route of lower priority as urgent.
-fn mark_urgent_routes(routes: &mut HashMap<SocketAddrV4, RouteChoice>) {
+fn mark_urgent_routes(routes: &mut HashMap<SocketAddrV4, CompiledRoute>) {
     let mut least_urgent: HashMap<ServiceId, u32> = HashMap::new();
     for route in routes.values() {
         for service in route.services() {
@@ -368,14 +368,14 @@
 }
 
 fn candidate(entry: &TargetEntry, record: &TargetRecord, locality: &Locality) -> Candidate {
-    let standing = match (record.state, entry.target.present) {
-        (TargetState::Draining, _) => Standing::Leaving,
-        (TargetState::Ready, true) => Standing::Ready,
-        (TargetState::Ready, false) => Standing::Vanished(entry.learned_at),
+    let availability = match (record.state, entry.target.present) {
+        (TargetState::Draining, _) => Availability::Leaving,
+        (TargetState::Ready, true) => Availability::Ready,
+        (TargetState::Ready, false) => Availability::Removed(entry.learned_at),
     };
     Candidate {
         agent: record.machine(),
-        standing,
+        availability,
         recorded: entry.target.present,
         evacuated: false,
         slots: record.slots.max(1),
--- a/crates/steering/tests/accounting.rs
+++ b/crates/steering/tests/accounting.rs
@@ -9,7 +9,7 @@
 use support::beside::{answer, arrival, new_agent, request};
 use support::{flow, opening};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, OutputDecision, PacketHead, WaitOutcome, WaitedOpening,
+    Agent, Arrival, DeliveryDecision, OutputDecision, PacketHeader, PendingOpening, WaitOutcome,
 };
 
 /// Longer than any opening waits, with the time between two looks.
@@ -53,12 +53,12 @@
 }
 
 impl Outcomes {
-    fn hand_over(&mut self, head: &PacketHead) {
-        *self.handed_over.entry(head.source.port()).or_default() += 1;
+    fn hand_over(&mut self, header: &PacketHeader) {
+        *self.handed_over.entry(header.source.port()).or_default() += 1;
     }
 
-    fn send_back(&mut self, opening: &WaitedOpening) {
-        let port = opening.head.source.port();
+    fn send_back(&mut self, opening: &PendingOpening) {
+        let port = opening.header.source.port();
         if self.handed_over.contains_key(&port) {
             self.returned_after.push(port);
         }
@@ -67,7 +67,7 @@
     fn look(&mut self, beside: &mut Agent, now: u64) {
         while let Some(outcome) = beside.next_outcome(now) {
             match outcome {
-                WaitOutcome::Deliver(opening, _) => self.hand_over(&opening.head),
+                WaitOutcome::Deliver(opening, _) => self.hand_over(&opening.header),
                 WaitOutcome::Return(opening, _) => self.send_back(&opening),
             }
         }
@@ -85,10 +85,10 @@
         for step in steps {
             match step {
                 Step::Opening { port, copy, urgent, may_wait } => {
-                    let head = PacketHead { acknowledgment: copy.into(), ..opening(flow(port)) };
-                    let arrival = Arrival { urgent, may_wait, ..arrival(&head) };
+                    let header = PacketHeader { acknowledgment: copy.into(), ..opening(flow(port)) };
+                    let arrival = Arrival { urgent, may_wait, ..arrival(&header) };
                     match beside.delivery(&arrival, now) {
-                        DeliveryDecision::Deliver { .. } => outcomes.hand_over(&head),
+                        DeliveryDecision::Deliver { .. } => outcomes.hand_over(&header),
                         DeliveryDecision::Wait { displaced: Some(displaced) } => {
                             outcomes.send_back(&displaced);
                         }
@@ -134,8 +134,8 @@
         beside.delivery(&arrival(&request(port, 0)), 0);
     }
     for port in 100..150 {
-        let head = opening(flow(port));
-        beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+        let header = opening(flow(port));
+        beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     }
     let mut returned = 0;
     while let Some(outcome) = beside.next_outcome(AFTER_ALL_WAITS_MS) {
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -5,18 +5,18 @@
 use support::beside::{answer, arrival, deliver, fill, new_agent, request};
 use support::{SERVICE, agent, data, flow, opening};
 use weirhinge_fleet::{ReturnReason, ServiceId};
-use weirhinge_steering::{Agent, Arrival, DeliveryDecision, PacketHead, WaitOutcome};
+use weirhinge_steering::{Agent, Arrival, DeliveryDecision, PacketHeader, WaitOutcome};
 
 #[test]
 fn a_busy_target_sends_openings_back_unless_they_may_wait() {
     let mut beside = new_agent();
     fill(&mut beside);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(beside.delivery(&arrival(&head), 1), busy);
-    let may_wait = Arrival { may_wait: true, ..arrival(&head) };
+    assert_eq!(beside.delivery(&arrival(&header), 1), busy);
+    let may_wait = Arrival { may_wait: true, ..arrival(&header) };
     assert_eq!(beside.delivery(&may_wait, 1), DeliveryDecision::Wait { displaced: None });
-    assert_eq!(beside.delivery(&arrival(&head), 2), DeliveryDecision::WaitsAlready);
+    assert_eq!(beside.delivery(&arrival(&header), 2), DeliveryDecision::WaitsAlready);
     assert_eq!(beside.next_outcome(3), None);
     // Packets of open flows never wait.
     deliver(&mut beside, &data(flow(51)), 3);
@@ -31,11 +31,11 @@
     for port in 0..4 {
         deliver(&mut beside, &request(port, 0), 0);
     }
-    let head = opening(flow(300));
+    let header = opening(flow(300));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(beside.delivery(&arrival(&head), 0), busy);
+    assert_eq!(beside.delivery(&arrival(&header), 0), busy);
     // Urgent flows have more room, and packets of open flows never wait.
-    let urgent = Arrival { urgent: true, ..arrival(&head) };
+    let urgent = Arrival { urgent: true, ..arrival(&header) };
     assert!(matches!(beside.delivery(&urgent, 0), DeliveryDecision::Deliver { .. }));
     for port in 4..200 {
         deliver(&mut beside, &request(port, 0), 0);
@@ -58,8 +58,8 @@
     }
     let mut room = 0;
     for port in 1_000..1_100 {
-        let head = opening(flow(port));
-        let decision = beside.delivery(&arrival(&head), now);
+        let header = opening(flow(port));
+        let decision = beside.delivery(&arrival(&header), now);
         room += u32::from(matches!(decision, DeliveryDecision::Deliver { .. }));
     }
     room
@@ -95,29 +95,29 @@
     let mut beside = new_agent();
     fill(&mut beside);
     for port in [50, 51] {
-        let head = opening(flow(port));
-        beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, u64::from(port));
+        let header = opening(flow(port));
+        beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, u64::from(port));
     }
     beside.output(&answer(flow(0)), 60);
     let Some(WaitOutcome::Deliver(first, _)) = beside.next_outcome(60) else {
         panic!("expected a delivery");
     };
-    assert_eq!(first.head.client_flow(), flow(51));
+    assert_eq!(first.header.client_flow(), flow(51));
     // The admitted flow's request is expected and takes the room.
     assert_eq!(beside.next_outcome(61), None);
     // It never comes: the room is free again.
     let Some(WaitOutcome::Deliver(second, _)) = beside.next_outcome(130) else {
         panic!("expected a delivery");
     };
-    assert_eq!(second.head.client_flow(), flow(50));
+    assert_eq!(second.header.client_flow(), flow(50));
 }
 
 #[test]
 fn an_opening_that_waited_too_long_goes_back() {
     let mut beside = new_agent();
     fill(&mut beside);
-    let head = opening(flow(50));
-    beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+    let header = opening(flow(50));
+    beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     assert_eq!(beside.next_outcome(1_000), None);
     let Some(WaitOutcome::Return(opening, ReturnReason::Busy)) = beside.next_outcome(1_100) else {
         panic!("expected a return");
@@ -131,18 +131,18 @@
     fill(&mut beside);
     let first = opening(flow(50));
     beside.delivery(&Arrival { may_wait: true, ..arrival(&first) }, 0);
-    let copy = PacketHead { acknowledgment: 1, ..opening(flow(51)) };
+    let copy = PacketHeader { acknowledgment: 1, ..opening(flow(51)) };
     beside.delivery(&Arrival { may_wait: true, ..arrival(&copy) }, 500);
     // The first packet is due although the copy stands at the end it leaves from.
     let Some(WaitOutcome::Return(returned, ReturnReason::Busy)) = beside.next_outcome(1_100) else {
         panic!("expected a return");
     };
-    assert_eq!(returned.head.client_flow(), flow(50));
+    assert_eq!(returned.header.client_flow(), flow(50));
     beside.output(&answer(flow(0)), 1_200);
     let Some(WaitOutcome::Deliver(delivered, _)) = beside.next_outcome(1_200) else {
         panic!("expected a delivery");
     };
-    assert_eq!(delivered.head.client_flow(), flow(51));
+    assert_eq!(delivered.header.client_flow(), flow(51));
 }
 
 /// Requests on open flows cannot be kept back, so that in a burst approvals, which
@@ -152,23 +152,23 @@
     let mut beside = new_agent();
     fill(&mut beside);
     let urgent = |port| opening(flow(port));
-    let head = urgent(60);
-    let decision = beside.delivery(&Arrival { urgent: true, ..arrival(&head) }, 0);
+    let header = urgent(60);
+    let decision = beside.delivery(&Arrival { urgent: true, ..arrival(&header) }, 0);
     assert!(matches!(decision, DeliveryDecision::Deliver { .. }));
     // Eight in hand are too many for urgent ones too.
     for port in 61..63 {
         deliver(&mut beside, &request(port, 0), 0);
     }
     for (port, urgent) in [(70, true), (71, false)] {
-        let head = opening(flow(port));
-        beside.delivery(&Arrival { may_wait: true, urgent, ..arrival(&head) }, 1);
+        let header = opening(flow(port));
+        beside.delivery(&Arrival { may_wait: true, urgent, ..arrival(&header) }, 1);
     }
     assert_eq!(beside.next_outcome(2), None);
     beside.output(&answer(flow(0)), 3);
     let Some(WaitOutcome::Deliver(first, _)) = beside.next_outcome(3) else {
         panic!("expected a delivery");
     };
-    assert_eq!(first.head.client_flow(), flow(70));
+    assert_eq!(first.header.client_flow(), flow(70));
     assert_eq!(beside.next_outcome(4), None);
 }
 
@@ -179,9 +179,9 @@
     let mut beside = new_agent();
     fill(&mut beside);
     let wait = |beside: &mut Agent, port: u16, urgent: bool, now: u64| {
-        let head = opening(flow(port));
-        match beside.delivery(&Arrival { may_wait: true, urgent, ..arrival(&head) }, now) {
-            DeliveryDecision::Wait { displaced } => displaced.map(|opening| opening.head),
+        let header = opening(flow(port));
+        match beside.delivery(&Arrival { may_wait: true, urgent, ..arrival(&header) }, now) {
+            DeliveryDecision::Wait { displaced } => displaced.map(|opening| opening.header),
             other => panic!("expected a wait, got {other:?}"),
         }
     };
@@ -205,12 +205,12 @@
 fn a_waiting_opening_ends_when_its_copy_is_handed_over() {
     let mut beside = new_agent();
     fill(&mut beside);
-    let head = opening(flow(50));
-    let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 1);
+    let header = opening(flow(50));
+    let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 1);
     assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     // The target turns out to be larger than it was known to be.
     beside.set_slots(8);
-    let copy = PacketHead { acknowledgment: 1, ..head };
+    let copy = PacketHeader { acknowledgment: 1, ..header };
     deliver(&mut beside, &copy, 201);
     for port in 60..70 {
         deliver(&mut beside, &request(port, 0), 202);
--- a/crates/steering/tests/admission_by_delay.rs
+++ b/crates/steering/tests/admission_by_delay.rs
@@ -85,7 +85,7 @@
     fixture.queue(flows[0], LATER - 200);
     for (number, service_ms) in [(1, 80), (2, 200), (3, 900)] {
         let load = TargetLoad { service_ms: Some(service_ms), ..TargetLoad::default() };
-        fixture.balancer.heard(agent(number), load, LATER);
+        fixture.balancer.note_answer(agent(number), load, LATER);
     }
     let decision = fixture.client(&opening(flows[1]), LATER + 1);
     assert_eq!(budget(&decision), 1_000 - 200 - 30);
@@ -97,10 +97,10 @@
     let mut fixture = Fixture::new(&store(2));
     let flows = first_ranked(2);
     for (flow, (number, age)) in flows.iter().zip([(1, 200), (2, 600)]) {
-        let head = copy(*flow, number);
-        let decision = match fixture.client(&head, LATER) {
+        let header = copy(*flow, number);
+        let decision = match fixture.client(&header, LATER) {
             Decision::Forward(forward) => {
-                fixture.returned(&head, forward.agent, ReturnReason::Busy, LATER)
+                fixture.returned(&header, forward.agent, ReturnReason::Busy, LATER)
             }
             other => other,
         };
@@ -131,9 +131,9 @@
     let route = Route { objective_ms: Some(500), ..route(endpoint(), SERVICE, 2) };
     let mut fixture = with_route(route);
     let flows = first_ranked(2);
-    let head = copy(flows[0], 2);
-    let from = forwarded(&fixture.client(&head, LATER)).agent;
-    let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
+    let header = copy(flows[0], 2);
+    let from = forwarded(&fixture.client(&header, LATER)).agent;
+    let decision = fixture.returned(&header, from, ReturnReason::Busy, LATER);
     assert_eq!(budget(&decision), PATIENCE - 600);
     let second = fixture.client(&copy(flows[1], 2), LATER);
     assert_eq!(second, Decision::Drop(DropReason::OpeningRefused));
@@ -200,15 +200,15 @@
         match self.fixture.balancer.grant(&context, &grant).granted {
             Some(opening) => {
                 self.outcomes.longest_wait = self.outcomes.longest_wait.max(opening.waited_ms);
-                self.opened(opening.head.client_flow());
+                self.opened(opening.header.client_flow());
             }
             None => self.room = (self.room + 1).min(2),
         }
     }
 
     fn arrive(&mut self, flow: FlowKey) {
-        let head = opening(flow);
-        let packet = ClientPacket { head: &head, bytes: b"packet" };
+        let header = opening(flow);
+        let packet = ClientPacket { header: &header, bytes: b"packet" };
         let (view, now) = (&self.fixture.view, self.now);
         let context = Context { view, fresh: true, helpers: &[], now, unix_ms: now };
         let mut decision = self.fixture.balancer.client_packet(&context, packet);
@@ -218,7 +218,7 @@
                 return self.opened(flow);
             }
             let (agent, busy) = (forward.agent, ReturnReason::Busy);
-            self.fixture.balancer.heard(agent, 0, now);
+            self.fixture.balancer.note_answer(agent, 0, now);
             let balancer = &mut self.fixture.balancer;
             decision = balancer.returned_packet(&context, packet, agent, busy, false);
         }
--- a/crates/steering/tests/agent.rs
+++ b/crates/steering/tests/agent.rs
@@ -6,20 +6,20 @@
 use support::{OTHER, SERVICE, agent, data, flow, opening, packet};
 use weirhinge_fleet::{ReturnReason, SearchPath, ServiceId};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, Flags, HoldsNotice, OutputDecision, OutputDrop, PacketHead,
+    Agent, Arrival, DeliveryDecision, Flags, HoldsNotice, OutputDecision, OutputDrop, PacketHeader,
     WaitOutcome,
 };
 
 #[test]
 fn an_opening_packet_for_another_service_goes_back() {
     let mut beside = new_agent();
-    let head = opening(flow(1));
-    let wrong = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
+    let header = opening(flow(1));
+    let wrong = Arrival { service: ServiceId::of(OTHER), ..arrival(&header) };
     let returned = DeliveryDecision::Return(ReturnReason::OtherService);
     assert_eq!(beside.delivery(&wrong, 0), returned);
     // A later packet is the target's to judge.
-    let head = data(flow(1));
-    let later = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
+    let header = data(flow(1));
+    let later = Arrival { service: ServiceId::of(OTHER), ..arrival(&header) };
     assert!(matches!(beside.delivery(&later, 0), DeliveryDecision::Deliver { .. }));
 }
 
@@ -27,14 +27,14 @@
 fn a_bounced_packet_finds_the_balancer_that_sent_it() {
     let mut beside = new_agent();
     let first = deliver(&mut beside, &data(flow(1)), 0);
-    let head = data(flow(2));
-    let second = Arrival { balancer: agent(101), ..arrival(&head) };
+    let header = data(flow(2));
+    let second = Arrival { balancer: agent(101), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo: second, .. } = beside.delivery(&second, 0) else {
         panic!("expected a delivery");
     };
     let bounced = |port, echo| {
         let flags = Flags { ack: true, bounced: true, ..Flags::default() };
-        PacketHead { echo, ..packet(flow(port), flags, 100) }
+        PacketHeader { echo, ..packet(flow(port), flags, 100) }
     };
     let back = |balancer| OutputDecision::Return { balancer, granted: false };
     assert_eq!(beside.output(&bounced(1, first), 1), back(agent(100)));
@@ -53,7 +53,7 @@
         deliver(&mut beside, &data(flow(2)), 0);
     }
     let flags = Flags { bounced: true, ..Flags::default() };
-    let late = PacketHead { echo: first, ..packet(flow(1), flags, 0) };
+    let late = PacketHeader { echo: first, ..packet(flow(1), flags, 0) };
     assert_eq!(beside.output(&late, 1), OutputDecision::Drop(OutputDrop::UnknownDelivery));
 }
 
@@ -69,8 +69,8 @@
 }
 
 /// What the agent tells a balancer that searches for the packet's flow.
-fn search(agent: &mut Agent, head: &PacketHead, now: u64) -> Option<HoldsNotice> {
-    match agent.delivery(&Arrival { search: Some(&[]), ..arrival(head) }, now) {
+fn search(agent: &mut Agent, header: &PacketHeader, now: u64) -> Option<HoldsNotice> {
+    match agent.delivery(&Arrival { search: Some(&[]), ..arrival(header) }, now) {
         DeliveryDecision::Deliver { notice, .. } => notice,
         other => panic!("expected a delivery, got {other:?}"),
     }
@@ -103,7 +103,7 @@
     deliver(&mut beside, &opening(flow(3)), 4);
     let echo = deliver(&mut beside, &request(3, 1), 5);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    beside.output(&PacketHead { echo, ..packet(flow(3), bounced, 0) }, 6);
+    beside.output(&PacketHeader { echo, ..packet(flow(3), bounced, 0) }, 6);
     assert_eq!(search(&mut beside, &request(3, 1), 7), None);
 }
 
@@ -111,12 +111,12 @@
 fn a_searching_packet_goes_on_to_the_next_agent_and_back_from_the_last() {
     let mut beside = new_agent();
     let next = [agent(2).to_bits(), agent(3).to_bits()];
-    let head = request(1, 1);
-    let bounce = |echo| PacketHead {
+    let header = request(1, 1);
+    let bounce = |echo| PacketHeader {
         echo,
         ..packet(flow(1), Flags { bounced: true, ..Flags::default() }, 0)
     };
-    let arriving = Arrival { search: Some(&next), ..arrival(&head) };
+    let arriving = Arrival { search: Some(&next), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo, .. } = beside.delivery(&arriving, 0) else {
         panic!("expected a delivery");
     };
@@ -126,7 +126,7 @@
     // A bounce that comes twice goes nowhere the second time.
     let unknown = OutputDecision::Drop(OutputDrop::UnknownDelivery);
     assert_eq!(beside.output(&bounce(echo), 2), unknown);
-    let last = Arrival { search: Some(&[]), ..arrival(&head) };
+    let last = Arrival { search: Some(&[]), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo, .. } = beside.delivery(&last, 3) else {
         panic!("expected a delivery");
     };
@@ -152,7 +152,7 @@
     let mut beside = new_agent();
     search(&mut beside, &request(1, 1), 100);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    beside.output(&PacketHead { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
+    beside.output(&PacketHeader { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
     assert_eq!(beside.next_found(200), None);
     // Searched for again, its new packet has its own time to bounce.
     search(&mut beside, &request(1, 1), 200);
@@ -168,8 +168,8 @@
 #[test]
 fn a_flow_that_was_searched_for_is_confirmed_once() {
     let mut beside = new_agent();
-    let head = data(flow(1));
-    beside.delivery(&Arrival { search: Some(&[]), ..arrival(&head) }, 0);
+    let header = data(flow(1));
+    beside.delivery(&Arrival { search: Some(&[]), ..arrival(&header) }, 0);
     let notice = HoldsNotice { balancer: agent(100), flow: flow(1), confirmed: true };
     let told = OutputDecision::ToClient { notice: Some(notice) };
     assert_eq!(beside.output(&answer(flow(1)), 1), told);
@@ -227,8 +227,8 @@
 fn a_stopping_agent_takes_no_new_flow_and_keeps_its_own() {
     let mut beside = new_agent();
     fill(&mut beside);
-    let head = opening(flow(50));
-    beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+    let header = opening(flow(50));
+    beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     beside.leave();
     let leaving = DeliveryDecision::Return(ReturnReason::Leaving);
     assert_eq!(beside.delivery(&arrival(&opening(flow(9))), 1), leaving);
--- a/crates/steering/tests/balancer.rs
+++ b/crates/steering/tests/balancer.rs
@@ -7,10 +7,12 @@
 
 use support::{
     Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, flow, forwarded, is_far, opening,
-    two_groups,
+    targets_in_two_zones,
 };
 use weirhinge_fleet::{ReturnReason, ServiceId, TargetState, ZoneId};
-use weirhinge_steering::{Balancer, Decision, DropReason, ForwardReason, PacketHead, ResetReason};
+use weirhinge_steering::{
+    Balancer, Decision, DropReason, ForwardReason, PacketHeader, ResetReason,
+};
 
 #[test]
 fn a_flow_stays_at_the_target_that_answered() {
@@ -40,7 +42,7 @@
 #[test]
 fn a_refused_opening_goes_to_every_target_then_is_refused_at_once() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
-    let (mut visited, end) = fixture.bounce_to_the_end(&opening(flow(1)), LATER);
+    let (mut visited, end) = fixture.bounce_until_search_ends(&opening(flow(1)), LATER);
     visited.sort();
     assert_eq!(visited, (1..=7).map(agent).collect::<Vec<_>>());
     assert_eq!(end, Decision::Reset { sequence: 0, reason: ResetReason::Refused });
@@ -52,19 +54,19 @@
     let mut fixture = Fixture::new(&Store::with_targets(7));
     for number in 1..=7 {
         let waiting = if number == 6 { 8 } else { 9 };
-        fixture.balancer.heard(agent(number), waiting, LATER);
+        fixture.balancer.note_answer(agent(number), waiting, LATER);
     }
-    let head = opening(flow(1));
-    let decision = fixture.client(&head, LATER);
+    let header = opening(flow(1));
+    let decision = fixture.client(&header, LATER);
     assert!(!forwarded(&decision).may_wait());
     let from = forwarded(&decision).agent;
-    fixture.balancer.heard(from, if from == agent(6) { 8 } else { 9 }, LATER);
-    let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
+    fixture.balancer.note_answer(from, if from == agent(6) { 8 } else { 9 }, LATER);
+    let decision = fixture.returned(&header, from, ReturnReason::Busy, LATER);
     assert!(forwarded(&decision).may_wait());
     assert_eq!(forwarded(&decision).agent, agent(6));
     // Having waited in vain, it is refused at once.
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::Refused };
-    assert_eq!(fixture.returned(&head, agent(6), ReturnReason::Busy, LATER + 1_100), refused);
+    assert_eq!(fixture.returned(&header, agent(6), ReturnReason::Busy, LATER + 1_100), refused);
 }
 
 /// Where there were few targets, all of them busy, an opening was once refused within
@@ -73,15 +75,15 @@
 fn an_opening_waits_when_the_few_targets_there_are_are_busy() {
     for targets in [1, 2] {
         let mut fixture = Fixture::new(&Store::with_targets(targets));
-        let head = opening(flow(1));
-        let decision = fixture.client(&head, LATER);
+        let header = opening(flow(1));
+        let decision = fixture.client(&header, LATER);
         assert!(!forwarded(&decision).may_wait());
         let from = forwarded(&decision).agent;
-        let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER + 1);
+        let decision = fixture.returned(&header, from, ReturnReason::Busy, LATER + 1);
         assert!(forwarded(&decision).may_wait());
         let from = forwarded(&decision).agent;
         let refused = Decision::Reset { sequence: 0, reason: ResetReason::Refused };
-        assert_eq!(fixture.returned(&head, from, ReturnReason::Busy, LATER + 1_100), refused);
+        assert_eq!(fixture.returned(&header, from, ReturnReason::Busy, LATER + 1_100), refused);
     }
 }
 
@@ -144,8 +146,8 @@
 #[test]
 fn the_less_loaded_of_two_gets_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
-    fixture.balancer.heard(agent(1), 6, LATER);
-    fixture.balancer.heard(agent(2), 0, LATER);
+    fixture.balancer.note_answer(agent(1), 6, LATER);
+    fixture.balancer.note_answer(agent(2), 0, LATER);
     assert_eq!(forwarded(&fixture.client(&opening(flow(1)), LATER)).agent, agent(2));
 }
 
@@ -225,7 +227,7 @@
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
     fixture.balancer.store_regained(LATER);
-    fixture.claimed(agent(9), LATER);
+    fixture.note_target_status(agent(9), LATER);
     let mut chosen: Vec<Ipv4Addr> = (0..50)
         .map(|port| forwarded(&fixture.client(&opening(flow(port)), LATER + 100)).agent)
         .collect();
@@ -244,7 +246,7 @@
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
-    fixture.claimed(agent(1), LATER);
+    fixture.note_target_status(agent(1), LATER);
     assert!(matches!(fixture.client(&opening(flow(1)), LATER + 1_000), Decision::Forward(_)));
     assert!(matches!(fixture.client(&opening(flow(2)), LATER + 2_000), Decision::Reset { .. }));
 }
@@ -252,28 +254,28 @@
 #[test]
 fn a_bounced_packet_from_a_client_is_dropped() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
-    let mut head = data(flow(1));
-    head.flags.bounced = true;
+    let mut header = data(flow(1));
+    header.flags.bounced = true;
     let dropped = Decision::Drop(DropReason::BouncedByClient);
-    assert_eq!(fixture.client(&head, LATER), dropped);
+    assert_eq!(fixture.client(&header, LATER), dropped);
 }
 
 #[test]
 fn a_balancer_that_no_agent_answers_is_isolated() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     assert!(!fixture.balancer.is_isolated(LATER), "not before it was in touch");
-    fixture.claimed(agent(1), LATER);
+    fixture.note_target_status(agent(1), LATER);
     assert!(!fixture.balancer.is_isolated(LATER + 600));
     assert!(fixture.balancer.is_isolated(LATER + 700));
-    fixture.claimed(agent(2), LATER + 800);
+    fixture.note_target_status(agent(2), LATER + 800);
     assert!(!fixture.balancer.is_isolated(LATER + 801));
     // Heard but not reached: openings stay unanswered.
     for port in 0..10 {
         fixture.client(&opening(flow(port)), LATER + 900);
     }
-    fixture.claimed(agent(1), LATER + 1_700);
+    fixture.note_target_status(agent(1), LATER + 1_700);
     assert!(fixture.balancer.is_isolated(LATER + 1_700));
-    fixture.balancer.heard(agent(1), 0, LATER + 1_800);
+    fixture.balancer.note_answer(agent(1), 0, LATER + 1_800);
     assert!(!fixture.balancer.is_isolated(LATER + 1_801));
 }
 
@@ -297,14 +299,14 @@
 #[test]
 fn a_copy_of_a_waiting_opening_goes_where_it_waits() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
-    let head = opening(flow(1));
-    let mut decision = fixture.client(&head, LATER);
+    let header = opening(flow(1));
+    let mut decision = fixture.client(&header, LATER);
     while !forwarded(&decision).may_wait() {
         let from = forwarded(&decision).agent;
-        decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
+        decision = fixture.returned(&header, from, ReturnReason::Busy, LATER);
     }
     let waits_at = forwarded(&decision).agent;
-    let copy = fixture.client(&PacketHead { acknowledgment: 1, ..head }, LATER + 200);
+    let copy = fixture.client(&PacketHeader { acknowledgment: 1, ..header }, LATER + 200);
     assert_eq!(forwarded(&copy).agent, waits_at);
     assert!(forwarded(&copy).may_wait());
 }
@@ -328,13 +330,13 @@
 /// Once three quarters of the packets of a deployment of four zones crossed zones.
 #[test]
 fn flows_stay_in_their_zone_while_its_targets_are_not_busier_by_a_margin() {
-    let store = two_groups();
+    let store = targets_in_two_zones();
     let mut fixture = Fixture::new(&store);
     fixture.view = store.view_in_zone("b");
     let chosen = |fixture: &mut Fixture, port, own_load, other_load| {
         for number in (1..=3).chain(51..=53) {
             let load = if number > 50 { own_load } else { other_load };
-            fixture.balancer.heard(agent(number), load, LATER);
+            fixture.balancer.note_answer(agent(number), load, LATER);
         }
         forwarded(&fixture.client(&opening(flow(port)), LATER)).agent
     };
@@ -351,29 +353,29 @@
 
 #[test]
 fn flows_stay_in_their_region_until_its_targets_are_busy() {
-    let store = two_groups();
+    let store = targets_in_two_zones();
     let mut fixture = Fixture::new(&store);
     for number in (1..=3).chain(51..=53) {
-        fixture.balancer.heard(agent(number), 2, LATER);
+        fixture.balancer.note_answer(agent(number), 2, LATER);
     }
     let chosen = |fixture: &mut Fixture, port| {
         let decision = fixture.client(&opening(flow(port)), LATER);
         let chosen = forwarded(&decision).agent;
         let waiting = if is_far(chosen) { 0 } else { 2 };
-        fixture.balancer.heard(chosen, waiting, LATER);
+        fixture.balancer.note_answer(chosen, waiting, LATER);
         chosen
     };
     assert!((0..100).all(|port| !is_far(chosen(&mut fixture, port))));
     for number in 1..=3 {
-        fixture.balancer.heard(agent(number), 9, LATER);
+        fixture.balancer.note_answer(agent(number), 9, LATER);
     }
     for number in 51..=53 {
-        fixture.balancer.heard(agent(number), 0, LATER);
+        fixture.balancer.note_answer(agent(number), 0, LATER);
     }
     assert!(is_far(chosen(&mut fixture, 500)));
     // The other region sees it the other way round.
     fixture.view = store.view_from("far");
-    fixture.balancer.heard(agent(1), 0, LATER);
+    fixture.balancer.note_answer(agent(1), 0, LATER);
     assert!((600..700).all(|port| is_far(chosen(&mut fixture, port))));
 }
 
@@ -392,8 +394,8 @@
 fn without_the_store_flows_go_by_the_agents_word() {
     let mut fixture = Fixture::new(&Store::with_targets(0));
     fixture.fresh = false;
-    fixture.claimed(agent(1), LATER);
-    fixture.balancer.claimed(agent(2), ZoneId::of("a"), &claim(OTHER), LATER);
+    fixture.note_target_status(agent(1), LATER);
+    fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &claim(OTHER), LATER);
     let decision = fixture.client(&opening(flow(1)), LATER + 100);
     assert_eq!(forwarded(&decision).agent, agent(1));
 }
--- a/crates/steering/tests/caller_shares.rs
+++ b/crates/steering/tests/caller_shares.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
-use weirhinge_steering::{AdmissionRate, CallerRank, CallerShares, caller_rank, may_wait};
+use weirhinge_steering::{AdmissionRate, CallerShares, ClientRank, client_rank, may_wait};
 
 const BUDGET_MS: Millis = 200;
 const HEAVY: Ipv4Addr = Ipv4Addr::new(10, 9, 9, 9);
@@ -38,7 +38,7 @@
 impl Queue {
     fn arrive(&mut self, caller: Ipv4Addr, now: Millis) {
         let ahead = self.waiting.len();
-        let rank = self.shares.rank(caller, caller_rank(caller, now), now);
+        let rank = self.shares.rank(caller, client_rank(caller, now), now);
         if may_wait(self.rate.expected_wait(ahead, now), ahead, BUDGET_MS, rank) {
             self.rate.waiting_began(now);
             self.shares.waits(caller);
@@ -147,7 +147,7 @@
     for _ in 0..HEAVY_OPENINGS {
         shares.waits(HEAVY);
     }
-    assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(HEAVY, ClientRank::SERVED_FIRST, 0), ClientRank::SERVED_FIRST);
 }
 
 #[test]
@@ -159,7 +159,7 @@
         }
     }
     for caller in [light(1), light(2), light(3), light(9)] {
-        let own = CallerRank::from(12_345);
+        let own = ClientRank::from(12_345);
         assert_eq!(shares.rank(caller, own, 0), own, "{caller}");
     }
 }
@@ -172,8 +172,8 @@
         shares.waits(HEAVY);
         shares.admitted(HEAVY, 100);
     }
-    let own = CallerRank::SERVED_FIRST;
-    assert!(shares.rank(HEAVY, own, 1_099) > CallerRank::REFUSED_FIRST);
+    let own = ClientRank::SERVED_FIRST;
+    assert!(shares.rank(HEAVY, own, 1_099) > ClientRank::REFUSED_FIRST);
     assert_eq!(shares.rank(HEAVY, own, 1_100), own);
 }
 
@@ -186,19 +186,19 @@
     shares.gave_up(HEAVY);
     shares.gave_up(HEAVY);
     shares.gave_up(HEAVY);
-    assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(HEAVY, ClientRank::SERVED_FIRST, 0), ClientRank::SERVED_FIRST);
 }
 
 #[test]
 fn ranks_get_worse_with_each_share_and_keep_their_order() {
-    let ranks = [0, 1, 20_000, 40_000, u16::MAX].map(CallerRank::from);
+    let ranks = [0, 1, 20_000, 40_000, u16::MAX].map(ClientRank::from);
     for times in 0..200 {
-        let worse = ranks.map(|rank| rank.with_shares(times + 1));
-        let better = ranks.map(|rank| rank.with_shares(times));
+        let worse = ranks.map(|rank| rank.with_shares_used(times + 1));
+        let better = ranks.map(|rank| rank.with_shares_used(times));
         assert!(better[4] <= worse[0], "{times} shares: {better:?} {worse:?}");
         assert!(worse.is_sorted(), "{worse:?}");
     }
-    let worst = CallerRank::REFUSED_FIRST.with_shares(u32::MAX);
+    let worst = ClientRank::REFUSED_FIRST.with_shares_used(u32::MAX);
     assert!(may_wait(Some(BUDGET_MS / 8), 1, BUDGET_MS, worst));
     assert!(!may_wait(Some(BUDGET_MS / 8 + 1), 1, BUDGET_MS, worst));
 }
@@ -213,10 +213,10 @@
     // The first of these are no longer known.
     shares.waits(light(0));
     shares.waits(light(0));
-    let rank = shares.rank(light(0), CallerRank::SERVED_FIRST, 5);
-    assert_eq!(rank, CallerRank::SERVED_FIRST.with_shares(1));
+    let rank = shares.rank(light(0), ClientRank::SERVED_FIRST, 5);
+    assert_eq!(rank, ClientRank::SERVED_FIRST.with_shares_used(1));
     for _ in 0..3 {
         shares.gave_up(light(0));
     }
-    assert_eq!(shares.rank(light(0), CallerRank::SERVED_FIRST, 5), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(light(0), ClientRank::SERVED_FIRST, 5), ClientRank::SERVED_FIRST);
 }
--- a/crates/steering/tests/caller_rank.rs
+++ b/crates/steering/tests/client_rank.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use weirhinge_steering::{RANK_EPOCH_MS, caller_rank};
+use weirhinge_steering::{RANK_EPOCH_MS, client_rank};
 
 const RANGE: u64 = 1 << 16;
 const CLIENTS: u32 = 10_000;
@@ -14,7 +14,7 @@
 }
 
 fn rank(client: Ipv4Addr, unix_ms: u64) -> u64 {
-    u64::from(caller_rank(client, unix_ms).value())
+    u64::from(client_rank(client, unix_ms).value())
 }
 
 /// Whether a client is rejected when this percentage of all clients is.
@@ -121,7 +121,7 @@
 #[test]
 fn extreme_times_of_day_are_accepted() {
     for time in [0, 1, u64::MAX] {
-        let first = caller_rank(Ipv4Addr::UNSPECIFIED, time);
-        assert_eq!(first, caller_rank(Ipv4Addr::UNSPECIFIED, time));
+        let first = client_rank(Ipv4Addr::UNSPECIFIED, time);
+        assert_eq!(first, client_rank(Ipv4Addr::UNSPECIFIED, time));
     }
 }
--- a/crates/steering/tests/cold_start.rs
+++ b/crates/steering/tests/cold_start.rs
@@ -19,9 +19,9 @@
 }
 
 fn open(beside: &mut Agent, port: u16, may_wait: bool, now: Millis) -> DeliveryDecision {
-    let head = opening(flow(port));
+    let header = opening(flow(port));
     let arrival = Arrival {
-        head: &head,
+        header: &header,
         packet: b"packet",
         balancer: BALANCER,
         service: ServiceId::of(SERVICE),
--- a/crates/steering/tests/evacuation.rs
+++ b/crates/steering/tests/evacuation.rs
@@ -59,9 +59,9 @@
     store.route(&[(SERVICE, 1)]);
     store.evacuate(&["a"], LATER);
     let mut fixture = Fixture { fresh: false, ..fixture(&store) };
-    fixture.claimed(agent(9), LATER);
+    fixture.note_target_status(agent(9), LATER);
     assert!(!matches!(fixture.client(&opening(flow(1)), LATER), Decision::Forward(_)));
-    fixture.balancer.claimed(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
+    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
     assert_eq!(forwarded(&fixture.client(&opening(flow(2)), LATER)).agent, agent(60));
 }
 
@@ -95,24 +95,25 @@
 fn an_opening_that_an_agent_of_the_zone_sends_back_waits_elsewhere() {
     let mut store = store();
     let mut fixture = fixture(&store);
-    let head = opening(flow(1));
-    let first = forwarded(&fixture.client(&head, LATER)).agent;
-    let second = forwarded(&fixture.returned(&head, first, ReturnReason::Busy, LATER + 2)).clone();
+    let header = opening(flow(1));
+    let first = forwarded(&fixture.client(&header, LATER)).agent;
+    let second =
+        forwarded(&fixture.returned(&header, first, ReturnReason::Busy, LATER + 2)).clone();
     assert!(second.may_wait());
     let zone = if second.agent.octets()[3] < 50 { "a" } else { "b" };
     store.evacuate(&[zone], LATER + 10);
     fixture.view = store.view_in_zone("a");
-    let third = fixture.returned(&head, second.agent, ReturnReason::Evacuated, LATER + 20);
+    let third = fixture.returned(&header, second.agent, ReturnReason::Evacuated, LATER + 20);
     let third = forwarded(&third).clone();
     assert_ne!(third.agent.octets()[3] < 50, zone == "a");
     // It met a target without room here for the first time: it may wait there.
-    let fourth = fixture.returned(&head, third.agent, ReturnReason::Busy, LATER + 22);
+    let fourth = fixture.returned(&header, third.agent, ReturnReason::Busy, LATER + 22);
     assert!(forwarded(&fourth).may_wait());
 }
 
-fn arrival(head: &weirhinge_steering::PacketHead) -> Arrival<'_> {
+fn arrival(header: &weirhinge_steering::PacketHeader) -> Arrival<'_> {
     Arrival {
-        head,
+        header,
         packet: b"packet",
         balancer: Ipv4Addr::new(10, 0, 0, 1),
         service: ServiceId::of(SERVICE),
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -111,31 +111,31 @@
         target.beside.expire(now);
         while let Some(outcome) = self.targets[number].beside.next_outcome(now) {
             match outcome {
-                WaitOutcome::Deliver(opening, _) => self.open(number, opening.head.client_flow()),
+                WaitOutcome::Deliver(opening, _) => self.open(number, opening.header.client_flow()),
                 WaitOutcome::Return(..) => {}
             }
         }
         if (now + number as u64 * 70).is_multiple_of(DIGEST_MS) {
             let claim = TargetClaim { load: self.load(number), ..claim(SERVICE) };
             let address = agent(number as u8 + 1);
-            self.fixture.balancer.claimed(address, ZoneId::of("a"), &claim, now);
+            self.fixture.balancer.note_target_status(address, ZoneId::of("a"), &claim, now);
         }
     }
 
     fn send(&mut self, decision: Decision) {
         let Decision::Forward(forward) = decision else { return };
-        let head = opening(flow(self.opened));
+        let header = opening(flow(self.opened));
         let number = usize::from(forward.agent.octets()[3]) - 1;
-        let mut arrival = arrival(&head);
+        let mut arrival = arrival(&header);
         arrival.may_wait = forward.may_wait();
         match self.targets[number].beside.delivery(&arrival, self.now) {
             DeliveryDecision::Deliver { .. } => self.open(number, flow(self.opened)),
             DeliveryDecision::Return(reason) => {
-                self.fixture.balancer.heard(forward.agent, self.load(number), self.now);
-                let again = self.fixture.returned(&head, forward.agent, reason, self.now);
+                self.fixture.balancer.note_answer(forward.agent, self.load(number), self.now);
+                let again = self.fixture.returned(&header, forward.agent, reason, self.now);
                 self.send(again);
             }
-            _ => self.fixture.balancer.heard(forward.agent, self.load(number), self.now),
+            _ => self.fixture.balancer.note_answer(forward.agent, self.load(number), self.now),
         }
     }
 
@@ -147,9 +147,9 @@
         target.beside.output(&output(key, accept, 0), self.now);
         let load = self.load(number);
         self.fixture.balancer.holds(key, agent(number as u8 + 1), false, load, self.now);
-        let head = data(key);
+        let header = data(key);
         let target = &mut self.targets[number];
-        target.beside.delivery(&arrival(&head), self.now);
+        target.beside.delivery(&arrival(&header), self.now);
         target.queue.push_back(key);
     }
 
@@ -240,8 +240,8 @@
         let now = LATER + Millis::from(port) * 10_000;
         for (number, load) in words {
             let claim = TargetClaim { load: *load, ..claim(SERVICE) };
-            fixture.balancer.claimed(agent(*number), ZoneId::of("a"), &claim, now - age);
-            fixture.balancer.heard(agent(*number), *load, now - age);
+            fixture.balancer.note_target_status(agent(*number), ZoneId::of("a"), &claim, now - age);
+            fixture.balancer.note_answer(agent(*number), *load, now - age);
         }
         let decision = fixture.client(&opening(flow(port)), now);
         chosen.push(support::forwarded(&decision).agent);
@@ -315,7 +315,7 @@
 /// With times that are all alike, the choice is the one by load: also between zones.
 #[test]
 fn equal_targets_are_chosen_as_by_load() {
-    let store = support::two_groups();
+    let store = support::targets_in_two_zones();
     for loads in 0..64u32 {
         let load_of = |place: u32| loads >> (2 * (place % 3)) & 3;
         let chosen = |service_ms: Option<u32>| {
@@ -324,7 +324,7 @@
             for (place, number) in [1, 2, 3, 51, 52, 53].into_iter().enumerate() {
                 let waiting = load_of(place as u32);
                 let load = TargetLoad { waiting, expected_ms: service_ms, service_ms };
-                fixture.balancer.heard(agent(number), load, LATER);
+                fixture.balancer.note_answer(agent(number), load, LATER);
             }
             let openings = (0..20).map(|port| fixture.client(&opening(flow(port)), LATER));
             openings.map(|opening| support::forwarded(&opening).agent).collect::<Vec<_>>()
@@ -336,7 +336,7 @@
 #[test]
 fn the_log_gets_the_expected_time() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
-    fixture.balancer.heard(agent(1), told(2, 40, 25), LATER);
+    fixture.balancer.note_answer(agent(1), told(2, 40, 25), LATER);
     for (port, expected) in [(1, 65), (2, 75)] {
         let decision = fixture.client(&opening(flow(port)), LATER);
         let inputs = support::forwarded(&decision).inputs.clone().expect("chosen by load");
--- a/crates/steering/tests/failing_targets.rs
+++ b/crates/steering/tests/failing_targets.rs
@@ -124,16 +124,16 @@
 fn a_flow_that_found_nothing_better_is_taken() {
     let mut agent = new_agent();
     fail(&mut agent, 1..4, 100);
-    let head = opening(flow(50));
-    let last_resort = Arrival { may_wait: true, ..arrival(&head) };
+    let header = opening(flow(50));
+    let last_resort = Arrival { may_wait: true, ..arrival(&header) };
     let decision = agent.delivery(&last_resort, 101);
     assert!(matches!(decision, DeliveryDecision::Deliver { .. }));
 }
 
 /// Sends an opening packet; every target in `failing` turns it away.
 fn place(fixture: &mut Fixture, port: u16, failing: &[Ipv4Addr]) -> (Decision, usize) {
-    let head = opening(flow(port));
-    let mut decision = fixture.client(&head, LATER);
+    let header = opening(flow(port));
+    let mut decision = fixture.client(&header, LATER);
     let mut returns = 0;
     while let Decision::Forward(forward) = &decision {
         if forward.may_wait() || !failing.contains(&forward.agent) {
@@ -141,7 +141,7 @@
         }
         let from = forward.agent;
         returns += 1;
-        decision = fixture.returned(&head, from, ReturnReason::Failing, LATER);
+        decision = fixture.returned(&header, from, ReturnReason::Failing, LATER);
     }
     (decision, returns)
 }
--- a/crates/steering/tests/former_flow_claims.rs
+++ b/crates/steering/tests/former_flow_claims.rs
@@ -8,12 +8,12 @@
 
 use support::beside::{answer, arrival, deliver, new_agent, output};
 use support::{
-    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, flow, many_agent, opening,
-    rows,
+    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, fleet_agent, flow,
+    opening, paths,
 };
 use weirhinge_fleet::{Route, RoutePart, TargetClaim, TargetState, ZoneId};
 use weirhinge_steering::{
-    Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHead,
+    Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHeader,
 };
 
 /// Longer than balancers may lag behind a change of routes.
@@ -23,7 +23,7 @@
     view.label().map(|label| label.version)
 }
 
-fn reset() -> PacketHead {
+fn reset() -> PacketHeader {
     output(flow(1), Flags { rst: true, ..Flags::default() }, 0)
 }
 
@@ -113,8 +113,8 @@
     let (mut agent, mut store) = settled_agent();
     leave_route(&mut agent, &mut store, LATER);
     let now = LATER + SPREAD_MS;
-    let head = data(flow(1));
-    let searching = Arrival { search: Some(&[]), ..arrival(&head) };
+    let header = data(flow(1));
+    let searching = Arrival { search: Some(&[]), ..arrival(&header) };
     assert!(matches!(agent.delivery(&searching, now), DeliveryDecision::Deliver { .. }));
     assert!(agent.without_former_flows(now + 1).is_some());
     assert!(matches!(agent.output(&answer(flow(1)), now + 2), OutputDecision::ToClient { .. }));
@@ -160,12 +160,12 @@
 
 fn say(fixture: &mut Fixture, agent: Ipv4Addr, without: Option<u64>, now: u64) {
     let claim = TargetClaim { without_former_flows: without, ..claim(OTHER) };
-    fixture.balancer.claimed(agent, ZoneId::of("a"), &claim, now);
+    fixture.balancer.note_target_status(agent, ZoneId::of("a"), &claim, now);
 }
 
 /// Whether a lost flow's search asks the target of the other service.
 fn asks_other(fixture: &mut Fixture, now: u64) -> bool {
-    let (asked, _) = fixture.bounce_to_the_end(&data(flow(1)), now);
+    let (asked, _) = fixture.bounce_until_search_ends(&data(flow(1)), now);
     asked.contains(&agent(11))
 }
 
@@ -269,17 +269,17 @@
 /// Lets all targets send a lost flow's packet back. Returns the agents asked, and the packets
 /// and waves that the balancer sent.
 fn search_in_vain(fixture: &mut Fixture) -> (BTreeSet<Ipv4Addr>, usize, usize) {
-    let head = data(flow(1));
+    let header = data(flow(1));
     let (mut asked, mut packets, mut waves) = (BTreeSet::new(), 0, 0);
-    let mut decision = fixture.client(&head, LATER);
+    let mut decision = fixture.client(&header, LATER);
     while let Decision::Forward(_) = &decision {
-        let row_list = rows(&decision);
+        let row_list = paths(&decision);
         packets += row_list.len();
         waves += 1;
         assert!(row_list.iter().flatten().all(|agent| asked.insert(*agent)), "asked twice");
         for row in row_list {
             let last = *row.last().expect("no row is empty");
-            decision = fixture.bounced(&head, last, LATER + 1);
+            decision = fixture.bounced(&header, last, LATER + 1);
         }
     }
     (asked, packets, waves)
@@ -296,7 +296,7 @@
 
     let mut fixture = Fixture::new(&store);
     for number in 0..TARGETS {
-        say(&mut fixture, many_agent(number), named, LATER);
+        say(&mut fixture, fleet_agent(number), named, LATER);
     }
     let (asked, packets, waves) = search_in_vain(&mut fixture);
     println!("all said: {} targets, {packets} packets, {waves} waves", asked.len());
@@ -304,9 +304,9 @@
     assert_eq!(asked.len(), of_route, "those of the route's service");
 
     let mut fixture = Fixture::new(&store);
-    let holder = many_agent(TARGETS - 1);
+    let holder = fleet_agent(TARGETS - 1);
     for number in 0..TARGETS - 1 {
-        say(&mut fixture, many_agent(number), named, LATER);
+        say(&mut fixture, fleet_agent(number), named, LATER);
     }
     let (asked, ..) = search_in_vain(&mut fixture);
     assert!(asked.contains(&holder));
@@ -316,7 +316,7 @@
 #[test]
 fn at_size_flows_of_each_address_are_found_at_their_former_service() {
     let store = fleet_at_size();
-    let holder = many_agent(TARGETS - 1);
+    let holder = fleet_agent(TARGETS - 1);
     for number in [0, 1, ADDRESSES / 2] {
         let mut fixture = Fixture::new(&store);
         let service = SocketAddrV4::new(
@@ -324,11 +324,12 @@
             endpoint().port(),
         );
         let key = weirhinge_steering::FlowKey { service, ..flow(9) };
-        let head = data(key);
-        let mut decision = fixture.client(&head, LATER);
-        while !rows(&decision).concat().contains(&holder) {
-            for row in rows(&decision) {
-                decision = fixture.bounced(&head, *row.last().expect("no row is empty"), LATER + 1);
+        let header = data(key);
+        let mut decision = fixture.client(&header, LATER);
+        while !paths(&decision).concat().contains(&holder) {
+            for row in paths(&decision) {
+                decision =
+                    fixture.bounced(&header, *row.last().expect("no row is empty"), LATER + 1);
             }
         }
     }
--- a/crates/steering/tests/former_services.rs
+++ b/crates/steering/tests/former_services.rs
@@ -7,8 +7,8 @@
 use std::net::Ipv4Addr;
 
 use support::{
-    Fixture, LATER, OTHER, SERVICE, Store, agent, data, endpoint, flow, forwarded, opening,
-    route_to, rows,
+    Fixture, LATER, OTHER, SERVICE, Store, agent, data, endpoint, flow, forwarded, opening, paths,
+    route_to,
 };
 use weirhinge_fleet::{Route, TargetState};
 use weirhinge_steering::{Decision, DropReason, ResetReason};
@@ -48,7 +48,7 @@
     let mut asked = BTreeSet::new();
     let mut decision = fixture.client(&data(flow(port)), now);
     while let Decision::Forward(_) = &decision {
-        let asked_paths = rows(&decision);
+        let asked_paths = paths(&decision);
         assert!(
             asked_paths.iter().flatten().all(|agent| asked.insert(*agent)),
             "an agent was asked twice"
@@ -136,7 +136,7 @@
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
     let zone = weirhinge_fleet::ZoneId::of("a");
-    fixture.balancer.claimed(agent(11), zone, &support::claim(OTHER), LATER);
+    fixture.balancer.note_target_status(agent(11), zone, &support::claim(OTHER), LATER);
     assert_found(&mut fixture, &[(1, agent(11)), (2, agent(11))], LATER + 10);
 }
 
@@ -151,7 +151,7 @@
     fixture.view = store.view();
     for (port, holder) in flows {
         let decision = fixture.client(&data(flow(port)), LATER + 10);
-        assert_eq!(rows(&decision), [vec![holder]]);
+        assert_eq!(paths(&decision), [vec![holder]]);
     }
 }
 
@@ -163,7 +163,7 @@
     let named: BTreeSet<Ipv4Addr> = (1..=4).map(agent).collect();
     for port in CLIENT_PORTS {
         let first = fixture.client(&data(flow(port)), LATER);
-        let asked: BTreeSet<Ipv4Addr> = rows(&first).into_iter().flatten().collect();
+        let asked: BTreeSet<Ipv4Addr> = paths(&first).into_iter().flatten().collect();
         assert_eq!(asked, named);
     }
 }
@@ -185,10 +185,10 @@
     let mut store = Store::with_targets(1);
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     let mut fixture = Fixture::new(&store);
-    fixture.balancer.heard(agent(11), 0, LATER - 100);
+    fixture.balancer.note_answer(agent(11), 0, LATER - 100);
     fixture.client(&data(flow(1)), LATER);
     let next_decision = fixture.bounced(&data(flow(1)), agent(1), LATER + 1);
-    assert_eq!(rows(&next_decision), [vec![agent(11)]]);
+    assert_eq!(paths(&next_decision), [vec![agent(11)]]);
     for step in 1..=10 {
         let decision = fixture.search_again(&data(flow(1)), LATER + 1 + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }), "step {step}: {decision:?}");
@@ -199,7 +199,7 @@
     } else {
         fixture.search_again(&data(flow(1)), LATER + 1 + 12 * 130)
     };
-    assert_eq!(rows(&asked), [vec![agent(11)]]);
+    assert_eq!(paths(&asked), [vec![agent(11)]]);
 }
 
 /// Another system wrote such an entry. The search must not wait for its agent before each reset.
--- a/crates/steering/tests/grant_bounds.rs
+++ b/crates/steering/tests/grant_bounds.rs
@@ -127,11 +127,11 @@
     fn open(&mut self, kind: impl Fn(Arrival<'_>) -> Arrival<'_>, twice: bool) {
         let port = self.next_port;
         self.next_port += 1;
-        let head = opening(flow(port));
-        let decision = self.beside.delivery(&kind(arrival(&head)), self.now);
+        let header = opening(flow(port));
+        let decision = self.beside.delivery(&kind(arrival(&header)), self.now);
         if is_taken(&decision) {
             if twice {
-                let copy = self.beside.delivery(&kind(arrival(&head)), self.now);
+                let copy = self.beside.delivery(&kind(arrival(&header)), self.now);
                 assert!(is_taken(&copy), "{copy:?}");
             }
             self.took(port);
@@ -148,7 +148,7 @@
         loop {
             let outcome = self.beside.next_outcome(self.now);
             if let Some(WaitOutcome::Deliver(opening, _)) = &outcome {
-                self.took(opening.head.source.port());
+                self.took(opening.header.source.port());
             }
             let granted = self.beside.next_grant(self.now);
             if outcome.is_none() && granted.is_none() {
--- a/crates/steering/tests/grants.rs
+++ b/crates/steering/tests/grants.rs
@@ -7,7 +7,7 @@
 use support::{agent as balancer, flow, opening, packet};
 use weirhinge_fleet::{Millis, OpeningDemand};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, Flags, Grant, OutputDecision, PacketHead, WaitOutcome,
+    Agent, Arrival, DeliveryDecision, Flags, Grant, OutputDecision, PacketHeader, WaitOutcome,
 };
 
 #[test]
@@ -105,9 +105,9 @@
         if !urgent_only {
             open_to_all.push(port - 1_000);
         }
-        let head = opening(flow(port));
+        let header = opening(flow(port));
         let (balancer, granted) = (balancer(101), Some(both));
-        let used = Arrival { balancer, granted, urgent: is_urgent, ..arrival(&head) };
+        let used = Arrival { balancer, granted, urgent: is_urgent, ..arrival(&header) };
         assert!(is_taken(&beside.delivery(&used, 1_000)));
         deliver(&mut beside, &request(port, 0), 1_000);
         free(&mut beside, port, 1_000);
@@ -129,8 +129,8 @@
 #[test]
 fn an_opening_that_nobody_asked_for_passes_over_none_that_waits() {
     let direct = |beside: &Agent, urgent| {
-        let head = opening(flow(70));
-        beside.clone().delivery(&Arrival { urgent, ..arrival(&head) }, 101)
+        let header = opening(flow(70));
+        beside.clone().delivery(&Arrival { urgent, ..arrival(&header) }, 101)
     };
     let mut beside = full_agent();
     free(&mut beside, 0, 100);
@@ -152,8 +152,8 @@
 fn openings_that_wait_at_the_agent_take_turns_with_balancers() {
     let mut beside = full_agent();
     for port in 50..54 {
-        let head = opening(flow(port));
-        let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+        let header = opening(flow(port));
+        let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
         assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     }
     ask(&mut beside, 101, others(9, 50), 90);
@@ -173,8 +173,8 @@
 #[test]
 fn openings_that_wait_at_the_agent_do_not_hold_up_grants_that_they_cannot_use() {
     let mut beside = full_agent();
-    let head = opening(flow(50));
-    beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+    let header = opening(flow(50));
+    beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
     ask(&mut beside, 101, urgent(9, 50), 90);
     // Five are in hand: the room left is for urgent ones.
     assert_eq!(beside.next_outcome(90), None);
@@ -192,8 +192,8 @@
 #[test]
 fn an_opening_that_the_target_sends_back_tells_whether_it_came_with_a_grant() {
     let mut beside = full_agent();
-    let head = opening(flow(50));
-    let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+    let header = opening(flow(50));
+    let waits = beside.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
     assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     for port in 0..5 {
         free(&mut beside, port, 100);
@@ -207,7 +207,7 @@
     let direct = label(beside.delivery(&arrival(&opening(flow(52))), 101));
     let flags = Flags { bounced: true, ..Flags::default() };
     for (port, echo, granted) in [(50, waited, false), (51, granted, true), (52, direct, false)] {
-        let bounced = PacketHead { echo, ..packet(flow(port), flags, 0) };
+        let bounced = PacketHeader { echo, ..packet(flow(port), flags, 0) };
         let back = OutputDecision::Return { balancer: balancer(100), granted };
         assert_eq!(beside.output(&bounced, 102), back);
     }
--- a/crates/steering/tests/grants_unanswered.rs
+++ b/crates/steering/tests/grants_unanswered.rs
@@ -128,9 +128,9 @@
     // Its room was given away.
     ask(&mut without_room, 102, others(3, 500), 119);
     assert_eq!(grants(&mut without_room, 120), [102]);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let granted = Some(others(2, 90));
-    let late = Arrival { balancer: balancer(101), granted, may_wait: true, ..arrival(&head) };
+    let late = Arrival { balancer: balancer(101), granted, may_wait: true, ..arrival(&header) };
     assert_eq!(without_room.delivery(&late, 121), BUSY);
     assert_eq!(without_room.kept_room(), 1, "that of the other balancer");
 }
--- a/crates/steering/tests/home_regions.rs
+++ b/crates/steering/tests/home_regions.rs
@@ -27,7 +27,7 @@
     for (allowed, targets) in [("near", [1, 2]), ("far", [51, 52])] {
         let mut fixture = Fixture::new(&store(&[allowed]));
         for number in targets {
-            fixture.balancer.heard(agent(number), 1_000, LATER);
+            fixture.balancer.note_answer(agent(number), 1_000, LATER);
         }
         for port in 0..100 {
             let chosen = forwarded(&fixture.client(&opening(flow(port)), LATER)).agent;
@@ -46,8 +46,8 @@
 #[test]
 fn searches_stay_in_the_permitted_regions() {
     let mut fixture = Fixture::new(&store(&["near"]));
-    fixture.balancer.claimed(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
-    fixture.claimed(agent(3), LATER);
+    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
+    fixture.note_target_status(agent(3), LATER);
     let mut asked = path(&fixture.client(&data(flow(1)), LATER));
     asked.sort();
     assert_eq!(asked, [agent(1), agent(2), agent(3)]);
@@ -58,7 +58,7 @@
     let helper = Ipv4Addr::new(10, 0, 9, 9);
     for (allowed, is_handed) in [("near", true), ("far", false)] {
         let mut fixture = Fixture::new(&store(&[allowed]));
-        let decision = fixture.pressed(&opening(flow(1)), &[helper], LATER);
+        let decision = fixture.client_with_helpers(&opening(flow(1)), &[helper], LATER);
         assert_eq!(matches!(decision, Decision::HandOff { .. }), is_handed, "{allowed}");
     }
 }
--- a/crates/steering/tests/narrow_link.rs
+++ b/crates/steering/tests/narrow_link.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-use support::{Fixture, LATER, Store, data, flow, rows};
+use support::{Fixture, LATER, Store, data, flow, paths};
 use weirhinge_fleet::{Millis, Timing};
-use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, FlowKey, PacketHead};
+use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, FlowKey, PacketHeader};
 
 /// What a link of 10 Mbit/s carries in a millisecond, each way.
 const BYTES_A_MS: usize = 1_250;
@@ -52,10 +52,10 @@
     now: Millis,
     /// Until when the agents have not started.
     agents_from: Millis,
-    outward: Link<(PacketHead, Vec<Ipv4Addr>)>,
-    inward: Link<(PacketHead, Ipv4Addr)>,
+    outward: Link<(PacketHeader, Vec<Ipv4Addr>)>,
+    inward: Link<(PacketHeader, Ipv4Addr)>,
     /// Packets that come back to the balancer's link, by time.
-    returning: BTreeMap<Millis, Vec<(PacketHead, Ipv4Addr)>>,
+    returning: BTreeMap<Millis, Vec<(PacketHeader, Ipv4Addr)>>,
     reset_at: BTreeMap<FlowKey, Millis>,
 }
 
@@ -75,15 +75,15 @@
         }
     }
 
-    fn carry_out(&mut self, head: &PacketHead, decision: &Decision) {
+    fn carry_out(&mut self, header: &PacketHeader, decision: &Decision) {
         match decision {
             Decision::Forward(_) => {
-                for row in rows(decision) {
-                    self.outward.send((*head, row));
+                for row in paths(decision) {
+                    self.outward.send((*header, row));
                 }
             }
             Decision::Reset { .. } => {
-                self.reset_at.entry(head.client_flow()).or_insert(self.now);
+                self.reset_at.entry(header.client_flow()).or_insert(self.now);
             }
             Decision::Drop(_) | Decision::HandOff { .. } => {}
             Decision::Queue { .. } => panic!("the route has no objective"),
@@ -92,24 +92,24 @@
 
     fn step(&mut self) {
         self.now += 1;
-        for (head, row) in self.outward.tick() {
+        for (header, row) in self.outward.tick() {
             if self.now >= self.agents_from {
                 let back = self.now + TRIP_MS * (row.len() as Millis + 1);
                 let last = row[row.len() - 1];
-                self.returning.entry(back).or_default().push((head, last));
+                self.returning.entry(back).or_default().push((header, last));
             }
         }
         for packet in self.returning.remove(&self.now).unwrap_or_default() {
             self.inward.send(packet);
         }
-        for (head, from) in self.inward.tick() {
-            let decision = self.fixture.bounced(&head, from, self.now);
-            self.carry_out(&head, &decision);
+        for (header, from) in self.inward.tick() {
+            let decision = self.fixture.bounced(&header, from, self.now);
+            self.carry_out(&header, &decision);
         }
         if self.now.is_multiple_of(4) {
-            for (head, _) in self.fixture.balancer.due_searches(self.now) {
-                let decision = self.fixture.search_again(&head, self.now);
-                self.carry_out(&head, &decision);
+            for (header, _) in self.fixture.balancer.due_searches(self.now) {
+                let decision = self.fixture.search_again(&header, self.now);
+                self.carry_out(&header, &decision);
             }
         }
     }
@@ -117,18 +117,18 @@
     /// Clients of these flows send a packet each within 100 ms, and again until they are
     /// reset. Returns the time until the last one was.
     fn reset_all(&mut self, flows: u16) -> Millis {
-        let heads: Vec<PacketHead> = (0..flows).map(|number| data(flow(number))).collect();
+        let heads: Vec<PacketHeader> = (0..flows).map(|number| data(flow(number))).collect();
         let began = self.now;
         while self.reset_at.len() < heads.len() {
             let elapsed = self.now - began;
             assert!(elapsed < 30_000, "{} of {flows} reset", self.reset_at.len());
-            for (place, head) in heads.iter().enumerate() {
+            for (place, header) in heads.iter().enumerate() {
                 let first = place as Millis * 100 / Millis::from(flows);
                 let sends = [0, 200, 600, 1_400, 3_000, 4_600, 6_200, 7_800, 9_400];
                 let is_sent = sends.iter().any(|after| elapsed == first + after);
-                if is_sent && !self.reset_at.contains_key(&head.client_flow()) {
-                    let decision = self.fixture.client(head, self.now);
-                    self.carry_out(head, &decision);
+                if is_sent && !self.reset_at.contains_key(&header.client_flow()) {
+                    let decision = self.fixture.client(header, self.now);
+                    self.carry_out(header, &decision);
                 }
             }
             self.step();
@@ -193,7 +193,7 @@
     };
     assert!((1..10).contains(&wait_ms), "{wait_ms}");
     let due = fixture.balancer.due_searches(LATER + wait_ms);
-    assert_eq!(due.iter().map(|(head, _)| *head).collect::<Vec<_>>(), [data(flow(number))]);
+    assert_eq!(due.iter().map(|(header, _)| *header).collect::<Vec<_>>(), [data(flow(number))]);
     let again = fixture.search_again(&data(flow(number)), LATER + wait_ms);
     assert!(matches!(again, Decision::Forward(_)));
 }
--- a/crates/steering/tests/opening_queue.rs
+++ b/crates/steering/tests/opening_queue.rs
@@ -56,7 +56,7 @@
     let forward = forwarded(&granted.decision);
     assert_eq!((forward.agent, forward.reason), (agent(1), ForwardReason::OpeningGranted));
     assert!(!forward.may_wait() && !forward.urgent);
-    assert_eq!((granted.head.client_flow(), granted.waited_ms), (flows[0], 10));
+    assert_eq!((granted.header.client_flow(), granted.waited_ms), (flows[0], 10));
     assert_eq!(granted.bytes, b"packet");
     assert_eq!(fixture.serve(2, LATER + 11), Some((flows[1], 1)));
     assert_eq!(fixture.serve(1, LATER + 12), Some((flows[2], 0)));
@@ -75,8 +75,8 @@
     let direct = fixture.client(&opening(urgent(flows[1])), LATER + 1);
     assert_eq!(forwarded(&direct).reason, ForwardReason::Opened);
     let from = forwarded(&direct).agent;
-    let head = opening(urgent(flows[1]));
-    assert!(is_queued(&fixture.returned(&head, from, ReturnReason::Busy, LATER + 1)));
+    let header = opening(urgent(flows[1]));
+    assert!(is_queued(&fixture.returned(&header, from, ReturnReason::Busy, LATER + 1)));
     let answer = fixture.grant(1, LATER + 2);
     assert_eq!(granted_flow(&answer), Some(urgent(flows[1])));
     assert!(forwarded(&answer.granted.expect("granted").decision).urgent);
@@ -155,8 +155,8 @@
             fixture.queue(*flow, LATER);
         }
         assert_eq!(fixture.serve(1, LATER + 10), Some((flows[0], 2)));
-        let head = opening(flows[0]);
-        let decision = fixture.returned_granted(&head, agent(1), reason, LATER + 12);
+        let header = opening(flows[0]);
+        let decision = fixture.returned_granted(&header, agent(1), reason, LATER + 12);
         assert!(is_queued(&decision), "{reason:?}: {decision:?}");
         assert_eq!(fixture.serve(2, LATER + 20), Some((flows[0], 2)), "{reason:?}");
         assert_eq!(fixture.serve(2, LATER + 30), Some((flows[1], 1)), "{reason:?}");
@@ -170,9 +170,9 @@
     fixture.queue(flows[0], LATER);
     fixture.queue(flows[1], LATER + 500);
     assert_eq!(fixture.serve(1, LATER + BUDGET - 1), Some((flows[0], 1)));
-    let head = opening(flows[0]);
+    let header = opening(flows[0]);
     let late = LATER + BUDGET + 1;
-    let decision = fixture.returned_granted(&head, agent(1), ReturnReason::Busy, late);
+    let decision = fixture.returned_granted(&header, agent(1), ReturnReason::Busy, late);
     assert!(is_overloaded(&decision), "{decision:?}");
     assert_eq!(fixture.balancer.queue_length(), 1);
 }
@@ -292,13 +292,13 @@
     let mut fixture = Fixture::new(&store(4));
     let flow = first_ranked(1)[0];
     let silent = forwarded(&fixture.client(&opening(flow), LATER)).agent;
-    let head = copy(flow, 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
+    let header = copy(flow, 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
     assert_ne!(silent, moved);
     // The first one's word that it was busy comes late; the packet is elsewhere by then.
-    let late = fixture.returned(&head, silent, ReturnReason::Busy, LATER + 201);
+    let late = fixture.returned(&header, silent, ReturnReason::Busy, LATER + 201);
     assert_eq!(late, Decision::Drop(DropReason::OpeningElsewhere));
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 202)));
     let refused = fixture.due_refusals(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].decision, Decision::Drop(DropReason::OpeningRefused));
@@ -309,9 +309,9 @@
     let mut fixture = Fixture::new(&store(4));
     let flow = first_ranked(1)[0];
     let holder = forwarded(&fixture.client(&opening(flow), LATER)).agent;
-    let head = copy(flow, 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
+    let header = copy(flow, 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 202)));
     fixture.balancer.holds(flow, holder, false, 0, LATER + 210);
     assert_eq!(fixture.balancer.queue_length(), 0);
     let held = fixture.client(&data(flow), LATER + 211);
--- a/crates/steering/tests/opening_queue_faults.rs
+++ b/crates/steering/tests/opening_queue_faults.rs
@@ -25,8 +25,8 @@
     assert_eq!(fixture.serve(1, LATER + 150), Some((flow, 0)));
     let repeated = fixture.client(&copy(flow, 1), LATER + 200);
     assert_eq!(forwarded(&repeated).reason, ForwardReason::OpeningRepeated);
-    let head = opening(flow);
-    let decision = fixture.returned_granted(&head, agent(1), ReturnReason::Busy, LATER + 201);
+    let header = opening(flow);
+    let decision = fixture.returned_granted(&header, agent(1), ReturnReason::Busy, LATER + 201);
     assert!(is_queued(&decision), "{decision:?}");
     let refused = fixture.due_refusals(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
@@ -55,15 +55,15 @@
     fixture.balancer = Balancer::with_capacity(1);
     let flows = first_ranked(2);
     let silent = forwarded(&fixture.client(&opening(flows[0]), LATER)).agent;
-    let head = copy(flows[0], 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 201)));
+    let header = copy(flows[0], 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 201)));
     fixture.client(&data(flows[1]), LATER + 202);
     let other = (1..=4).map(agent).find(|agent| ![silent, moved].contains(agent));
     let number = other.expect("two others").octets()[3];
     assert_eq!(fixture.serve(number, LATER + 203), Some((flows[0], 0)));
     let from = agent(number);
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 204);
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 204);
     assert!(is_queued(&decision), "{decision:?}");
     let refused = fixture.due_refusals(LATER + 201 + BUDGET);
     assert_eq!(refused.len(), 1, "its budget did not begin again");
@@ -162,9 +162,9 @@
     let flows = first_ranked(2);
     let number = sent_back_and_granted(&mut fixture, flows[0]);
     fixture.queue(flows[1], LATER + 11);
-    let (head, from) = (opening(flows[0]), agent(number));
-    fixture.returned(&head, from, ReturnReason::Busy, LATER + 12);
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 13);
+    let (header, from) = (opening(flows[0]), agent(number));
+    fixture.returned(&header, from, ReturnReason::Busy, LATER + 12);
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 13);
     assert!(is_queued(&decision), "{decision:?}");
     assert_eq!(fixture.serve(other(number), LATER + 14), Some((flows[0], 1)));
     assert_eq!(fixture.serve(other(number), LATER + 15), Some((flows[1], 0)));
@@ -176,12 +176,12 @@
     let mut fixture = Fixture::new(&store(1));
     let flow = first_ranked(1)[0];
     let number = sent_back_and_granted(&mut fixture, flow);
-    let (head, from) = (opening(flow), agent(number));
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Leaving, LATER + 12);
+    let (header, from) = (opening(flow), agent(number));
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Leaving, LATER + 12);
     assert!(!matches!(decision, Decision::Forward(_)), "{decision:?}");
     let anew = fixture.client(&copy(flow, 1), LATER + 200);
     assert_eq!(forwarded(&anew).agent, from);
-    let doubled = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 201);
+    let doubled = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 201);
     assert_eq!(doubled, Decision::Drop(DropReason::OpeningElsewhere));
 }
 
@@ -192,9 +192,9 @@
     let flow = first_ranked(1)[0];
     let number = sent_back_and_granted(&mut fixture, flow);
     fixture.balancer.holds(flow, agent(number), false, 0, LATER + 11);
-    let head = copy(flow, 1);
-    assert_eq!(forwarded(&fixture.client(&head, LATER + 200)).agent, agent(number));
-    let onward = fixture.returned(&head, agent(number), ReturnReason::Leaving, LATER + 201);
+    let header = copy(flow, 1);
+    assert_eq!(forwarded(&fixture.client(&header, LATER + 200)).agent, agent(number));
+    let onward = fixture.returned(&header, agent(number), ReturnReason::Leaving, LATER + 201);
     assert_eq!(forwarded(&onward).agent, agent(other(number)));
 }
 
@@ -214,7 +214,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let moved = moved_on(&mut fixture);
     assert_eq!(fixture.bounced(&copy(flow(1), 1), moved, LATER + 201), NOT_TOLD);
-    let (visited, told) = fixture.bounce_to_the_end(&opening(flow(2)), LATER + 202);
+    let (visited, told) = fixture.bounce_until_search_ends(&opening(flow(2)), LATER + 202);
     assert_eq!((visited.len(), told), (2, REFUSED), "it went nowhere else");
 }
 
@@ -222,10 +222,10 @@
 fn an_opening_that_waited_at_a_target_is_not_reset_if_a_silent_one_may_have_opened_it() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let moved = moved_on(&mut fixture);
-    let head = copy(flow(1), 1);
-    let waits = fixture.returned(&head, moved, ReturnReason::Busy, LATER + 201);
+    let header = copy(flow(1), 1);
+    let waits = fixture.returned(&header, moved, ReturnReason::Busy, LATER + 201);
     assert_eq!(forwarded(&waits).reason, ForwardReason::OpeningWaits);
     let waited_at = forwarded(&waits).agent;
-    let given_up = fixture.returned(&head, waited_at, ReturnReason::Busy, LATER + 1_300);
+    let given_up = fixture.returned(&header, waited_at, ReturnReason::Busy, LATER + 1_300);
     assert_eq!(given_up, NOT_TOLD);
 }
--- a/crates/steering/tests/overload.rs
+++ b/crates/steering/tests/overload.rs
@@ -18,7 +18,7 @@
     length_ms: u64,
 ) -> Vec<u64> {
     let times = (from..from + length_ms).step_by(SAMPLE_MS as usize);
-    times.filter(|now| monitor.look(wait_ms, peers, *now)).collect()
+    times.filter(|now| monitor.observe(wait_ms, peers, *now)).collect()
 }
 
 #[test]
@@ -58,7 +58,7 @@
     take_samples(&mut monitor, LONG_WAIT_MS, PEERS_KEEP_UP, 0, 500);
     assert!(monitor.is_withdrawn());
     let overloaded_peers = PeerLoad { keeping_up: 1, overloaded: 2 };
-    assert!(!monitor.look(0, overloaded_peers, 600));
+    assert!(!monitor.observe(0, overloaded_peers, 600));
 }
 
 #[test]
--- a/crates/steering/tests/queue_delay.rs
+++ b/crates/steering/tests/queue_delay.rs
@@ -4,15 +4,15 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
-use weirhinge_steering::{AdmissionRate, CallerRank, caller_rank, may_wait};
+use weirhinge_steering::{AdmissionRate, ClientRank, client_rank, may_wait};
 
 /// What is left of a caller's objective for waiting.
 const BUDGET_MS: Millis = 200;
 /// Openings that find room in a second.
 const CAPACITY: u64 = 400;
 const CALLERS: u32 = 1_000;
-const FIRST: CallerRank = CallerRank::SERVED_FIRST;
-const LAST: CallerRank = CallerRank::REFUSED_FIRST;
+const FIRST: ClientRank = ClientRank::SERVED_FIRST;
+const LAST: ClientRank = ClientRank::REFUSED_FIRST;
 
 /// One opening's fate.
 #[derive(Clone, Copy, Debug)]
@@ -100,8 +100,8 @@
 }
 
 /// A rank within one epoch of all callers.
-fn rank(caller: u32) -> CallerRank {
-    caller_rank(Ipv4Addr::from_bits(0x0a01_0000 + caller), 0)
+fn rank(caller: u32) -> ClientRank {
+    client_rank(Ipv4Addr::from_bits(0x0a01_0000 + caller), 0)
 }
 
 /// Admits at a steady interval. Returns the time after the last admission.
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -55,10 +55,10 @@
         Event::Opening(port) => {
             fixture.client(&opening(flow(port)), *now);
         }
-        Event::Heard(number) => fixture.balancer.heard(agent(number), 0, *now),
+        Event::Heard(number) => fixture.balancer.note_answer(agent(number), 0, *now),
         Event::Claimed(number, leaving) => {
             let claim = weirhinge_fleet::TargetClaim { leaving, ..claim(SERVICE) };
-            fixture.balancer.claimed(agent(number), ZoneId::of("a"), &claim, *now);
+            fixture.balancer.note_target_status(agent(number), ZoneId::of("a"), &claim, *now);
         }
         Event::Returned(number, reason) => {
             fixture.returned(&opening(flow(9_999)), agent(number), reason, *now);
@@ -75,11 +75,11 @@
         now += CHECK_MS;
         if now % DIGEST_MS < CHECK_MS {
             for number in 1..=AGENTS {
-                fixture.claimed(agent(number), now);
+                fixture.note_target_status(agent(number), now);
             }
         }
-        if fixture.balancer.doubts_reach(now) {
-            fixture.balancer.reached(now);
+        if fixture.balancer.needs_probes(now) {
+            fixture.balancer.note_probe_answer(now);
         }
     }
     !fixture.balancer.is_isolated(now)
@@ -90,11 +90,11 @@
 #[test]
 fn isolated_balancer_recovers_without_client_packets() {
     let mut fixture = Fixture::new(&Store::with_targets(AGENTS));
-    fixture.claimed(agent(1), LATER);
+    fixture.note_target_status(agent(1), LATER);
     for port in 0..30 {
         fixture.client(&opening(flow(port)), LATER);
     }
-    fixture.claimed(agent(1), LATER + 800);
+    fixture.note_target_status(agent(1), LATER + 800);
     assert!(
         fixture.balancer.is_isolated(LATER + 800),
         "digests arrive, but opening packets are not answered"
@@ -105,15 +105,15 @@
 #[test]
 fn probe_answer_ends_isolation() {
     let mut statuses = AgentStatuses::default();
-    statuses.claimed(agent(1), ZoneId::of("a"), &claim(SERVICE), 0);
+    statuses.note_target_status(agent(1), ZoneId::of("a"), &claim(SERVICE), 0);
     for _ in 0..8 {
-        statuses.sent_opening(agent(1), 10);
+        statuses.note_opening_sent(agent(1), 10);
     }
-    assert!(!statuses.doubts_reach(100) && statuses.doubts_reach(160));
-    statuses.claimed(agent(1), ZoneId::of("a"), &claim(SERVICE), 700);
+    assert!(!statuses.needs_probes(100) && statuses.needs_probes(160));
+    statuses.note_target_status(agent(1), ZoneId::of("a"), &claim(SERVICE), 700);
     assert!(statuses.is_isolated(710));
-    statuses.reached(720);
-    assert!(!statuses.is_isolated(720) && !statuses.doubts_reach(2_000));
+    statuses.note_probe_answer(720);
+    assert!(!statuses.is_isolated(720) && !statuses.needs_probes(2_000));
 }
 
 proptest! {
@@ -130,7 +130,7 @@
         for port in 3_000..3_200 {
             let decision = fixture.client(&opening(flow(port)), now);
             let Decision::Forward(forward) = decision else { panic!("{decision:?}") };
-            fixture.balancer.heard(forward.agent, 0, now);
+            fixture.balancer.note_answer(forward.agent, 0, now);
             chosen.insert(forward.agent);
         }
         prop_assert_eq!(chosen.len(), usize::from(AGENTS));
@@ -145,11 +145,11 @@
         let mut now = 0;
         for (wait, keeping_up, overloaded) in samples {
             now += CHECK_MS;
-            monitor.look(wait, PeerLoad { keeping_up, overloaded }, now);
+            monitor.observe(wait, PeerLoad { keeping_up, overloaded }, now);
         }
         for _ in 0..=80 {
             now += CHECK_MS;
-            monitor.look(0, PeerLoad { keeping_up: 5, overloaded: 0 }, now);
+            monitor.observe(0, PeerLoad { keeping_up: 5, overloaded: 0 }, now);
         }
         prop_assert!(!monitor.is_withdrawn() && !monitor.is_overloaded());
     }
--- a/crates/steering/tests/restarted_targets.rs
+++ b/crates/steering/tests/restarted_targets.rs
@@ -56,8 +56,8 @@
 fn openings_that_wait_keep_their_turn() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(60));
-    let waits = Arrival { may_wait: true, ..arrival(&head) };
+    let header = opening(flow(60));
+    let waits = Arrival { may_wait: true, ..arrival(&header) };
     assert!(matches!(agent.delivery(&waits, 5), DeliveryDecision::Wait { .. }));
     agent.target_restarted();
     agent.set_slots(4);
@@ -93,7 +93,7 @@
     store.restart_target(1, SERVICE, LATER + 10);
     store.restart_target(2, SERVICE, LATER + 10);
     fixture.view = store.view();
-    let (visited, end) = fixture.bounce_to_the_end(&data(flow(5)), LATER + 20);
+    let (visited, end) = fixture.bounce_until_search_ends(&data(flow(5)), LATER + 20);
     assert_eq!(visited[0], holder);
     assert_eq!(visited.len(), 2, "each target was asked once");
     assert!(!matches!(end, Decision::Forward(_)));
