--- a/crates/steering/tests/search.rs
+++ b/crates/steering/tests/search.rs
@@ -4,7 +4,7 @@
 
 use support::{
     Fixture, LATER, OTHER, SERVICE, Store, agent, data, flow, forwarded, is_far, opening, path,
-    rows, two_groups,
+    paths, targets_in_two_zones,
 };
 use weirhinge_fleet::TargetState;
 use weirhinge_steering::{Decision, DropReason, ForwardReason, ResetReason};
@@ -14,7 +14,7 @@
     let mut store = Store::with_targets(7);
     store.target(3, SERVICE, Some(TargetState::Draining), 0);
     let mut fixture = Fixture::new(&store);
-    let (mut visited, end) = fixture.bounce_to_the_end(&data(flow(1)), LATER);
+    let (mut visited, end) = fixture.bounce_until_search_ends(&data(flow(1)), LATER);
     visited.sort();
     assert_eq!(visited, (1..=7).map(agent).collect::<Vec<_>>());
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
@@ -48,14 +48,14 @@
 #[test]
 fn flow_is_reset_after_delay_when_all_targets_bounce_it() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
-    let head = data(flow(1));
-    let (_, end) = fixture.bounce_to_the_end(&head, LATER);
+    let header = data(flow(1));
+    let (_, end) = fixture.bounce_until_search_ends(&header, LATER);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    let early = fixture.search_again(&head, LATER + 20);
+    let early = fixture.search_again(&header, LATER + 20);
     assert_eq!(early, Decision::Drop(DropReason::NobodyHoldsYet));
-    let decision = fixture.search_again(&head, LATER + 130);
+    let decision = fixture.search_again(&header, LATER + 130);
     let reason = ResetReason::NobodyHolds;
-    assert_eq!(decision, Decision::Reset { sequence: head.acknowledgment, reason });
+    assert_eq!(decision, Decision::Reset { sequence: header.acknowledgment, reason });
 }
 
 /// Targets asked before are not asked again: a target that bounced a packet does not hold its flow,
@@ -64,22 +64,22 @@
 fn new_target_is_asked_before_flow_is_reset() {
     let mut store = Store::with_targets(3);
     let mut fixture = Fixture::new(&store);
-    let head = data(flow(1));
-    fixture.bounce_to_the_end(&head, LATER);
+    let header = data(flow(1));
+    fixture.bounce_until_search_ends(&header, LATER);
     store.target(4, SERVICE, Some(TargetState::Ready), LATER + 10);
     fixture.view = store.view();
-    let decision = fixture.search_again(&head, LATER + 30);
+    let decision = fixture.search_again(&header, LATER + 30);
     assert_eq!(path(&decision), vec![agent(4)]);
-    assert!(matches!(fixture.bounced(&head, agent(4), LATER + 32), Decision::Reset { .. }));
+    assert!(matches!(fixture.bounced(&header, agent(4), LATER + 32), Decision::Reset { .. }));
 }
 
 #[test]
 fn flow_is_not_reset_on_stale_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     fixture.fresh = false;
-    let head = data(flow(1));
+    let header = data(flow(1));
     for round in 0..10 {
-        let (_, end) = fixture.bounce_to_the_end(&head, LATER + round * 500);
+        let (_, end) = fixture.bounce_until_search_ends(&header, LATER + round * 500);
         assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
     }
 }
@@ -90,7 +90,7 @@
     store.target(11, OTHER, Some(TargetState::Ready), 0);
     store.route(&[(SERVICE, 0), (OTHER, 1)]);
     let mut fixture = Fixture::new(&store);
-    let (mut visited, _) = fixture.bounce_to_the_end(&data(flow(1)), LATER);
+    let (mut visited, _) = fixture.bounce_until_search_ends(&data(flow(1)), LATER);
     visited.sort();
     assert_eq!(visited, vec![agent(1), agent(2), agent(11)]);
 }
@@ -98,13 +98,13 @@
 #[test]
 fn search_continues_without_further_client_packets() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
-    let head = data(flow(1));
-    let first = forwarded(&fixture.client(&head, LATER)).agent;
+    let header = data(flow(1));
+    let first = forwarded(&fixture.client(&header, LATER)).agent;
     assert!(fixture.balancer.due_searches(LATER + 50).is_empty());
     let due = fixture.balancer.due_searches(LATER + 130);
-    assert_eq!(due, vec![(head, b"packet".to_vec())]);
-    let next = fixture.search_again(&head, LATER + 130);
-    let others = rows(&next).concat().into_iter().find(|agent| *agent != first);
+    assert_eq!(due, vec![(header, b"packet".to_vec())]);
+    let next = fixture.search_again(&header, LATER + 130);
+    let others = paths(&next).concat().into_iter().find(|agent| *agent != first);
     let found = others.expect("the search continues with other targets");
     fixture.balancer.holds(flow(1), found, true, 0, LATER + 131);
     assert!(fixture.balancer.due_searches(LATER + 400).is_empty());
@@ -113,13 +113,13 @@
 #[test]
 fn search_packet_visits_eight_targets() {
     let mut fixture = Fixture::new(&Store::with_targets(20));
-    let head = data(flow(1));
-    let first = path(&fixture.client(&head, LATER));
+    let header = data(flow(1));
+    let first = path(&fixture.client(&header, LATER));
     assert_eq!(first.len(), 8);
     // A further packet takes the same path.
-    assert_eq!(path(&fixture.client(&head, LATER + 1)), first);
+    assert_eq!(path(&fixture.client(&header, LATER + 1)), first);
     // The other targets are asked at the same time, on paths of eight.
-    let second_wave = rows(&fixture.bounced(&head, first[7], LATER + 10));
+    let second_wave = paths(&fixture.bounced(&header, first[7], LATER + 10));
     assert_eq!(second_wave.iter().map(Vec::len).collect::<Vec<_>>(), [8, 4]);
     let mut asked = [first, second_wave.concat()].concat();
     assert_eq!(asked.len(), 20);
@@ -131,13 +131,13 @@
 #[test]
 fn search_continues_after_all_paths_returned() {
     let mut fixture = Fixture::new(&Store::with_targets(20));
-    let head = data(flow(1));
-    let first = path(&fixture.client(&head, LATER));
-    let second_wave = rows(&fixture.bounced(&head, first[7], LATER + 10));
+    let header = data(flow(1));
+    let first = path(&fixture.client(&header, LATER));
+    let second_wave = paths(&fixture.bounced(&header, first[7], LATER + 10));
     let continues = Decision::Drop(DropReason::SearchGoesOn);
-    assert_eq!(fixture.client(&head, LATER + 11), continues, "further packets wait");
-    assert_eq!(fixture.bounced(&head, second_wave[1][3], LATER + 12), continues);
-    let end = fixture.bounced(&head, second_wave[0][7], LATER + 13);
+    assert_eq!(fixture.client(&header, LATER + 11), continues, "further packets wait");
+    assert_eq!(fixture.bounced(&header, second_wave[1][3], LATER + 12), continues);
+    let end = fixture.bounced(&header, second_wave[0][7], LATER + 13);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
 }
 
@@ -146,12 +146,12 @@
     let mut fixture = Fixture::new(&Store::with_targets(4));
     let known = fixture.open(1, LATER);
     let helpers = [agent(101), agent(102)];
-    let decision = fixture.pressed(&data(flow(1)), &helpers, LATER + 1);
+    let decision = fixture.client_with_helpers(&data(flow(1)), &helpers, LATER + 1);
     assert_eq!(forwarded(&decision).agent, known);
     let mut chosen = Vec::new();
     for port in 2..40 {
-        let opened = fixture.pressed(&opening(flow(port)), &helpers, LATER + 1);
-        assert_eq!(fixture.pressed(&data(flow(port)), &helpers, LATER + 2), opened);
+        let opened = fixture.client_with_helpers(&opening(flow(port)), &helpers, LATER + 1);
+        assert_eq!(fixture.client_with_helpers(&data(flow(port)), &helpers, LATER + 2), opened);
         let Decision::HandOff { helper } = opened else { panic!("kept {opened:?}") };
         chosen.push(helper);
     }
@@ -164,8 +164,8 @@
 
 #[test]
 fn search_asks_own_region_first() {
-    let mut fixture = Fixture::new(&two_groups());
-    let (visited, _) = fixture.bounce_to_the_end(&data(flow(1)), LATER);
+    let mut fixture = Fixture::new(&targets_in_two_zones());
+    let (visited, _) = fixture.bounce_until_search_ends(&data(flow(1)), LATER);
     let far: Vec<bool> = visited.into_iter().map(is_far).collect();
     assert_eq!(far, [false, false, false, true, true, true]);
 }
@@ -175,21 +175,21 @@
 #[test]
 fn flow_without_holder_is_reset_soon() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
-    let head = data(flow(1));
-    fixture.bounce_to_the_end(&head, LATER);
+    let header = data(flow(1));
+    fixture.bounce_until_search_ends(&header, LATER);
     let due_at = fixture.balancer.next_due().expect("the packet is buffered");
     assert!(due_at <= LATER + 40, "{} ms", due_at - LATER);
-    assert_eq!(fixture.balancer.due_searches(due_at), vec![(head, b"packet".to_vec())]);
-    let decision = fixture.search_again(&head, due_at);
+    assert_eq!(fixture.balancer.due_searches(due_at), vec![(header, b"packet".to_vec())]);
+    let decision = fixture.search_again(&header, due_at);
     let reason = ResetReason::NobodyHolds;
-    assert_eq!(decision, Decision::Reset { sequence: head.acknowledgment, reason });
+    assert_eq!(decision, Decision::Reset { sequence: header.acknowledgment, reason });
 }
 
 #[test]
 fn search_waits_longer_on_stale_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     fixture.fresh = false;
-    fixture.bounce_to_the_end(&data(flow(1)), LATER);
+    fixture.bounce_until_search_ends(&data(flow(1)), LATER);
     let due_at = fixture.balancer.next_due().expect("the packet is buffered");
     assert!(due_at >= LATER + 100, "{} ms", due_at - LATER);
 }
--- a/crates/steering/tests/search_scaling.rs
+++ b/crates/steering/tests/search_scaling.rs
@@ -5,8 +5,8 @@
 use std::net::Ipv4Addr;
 
 use proptest::prelude::*;
-use support::{Fixture, LATER, Store, data, flow, many_agent, rows};
-use weirhinge_steering::{Decision, DropReason, PacketHead};
+use support::{Fixture, LATER, Store, data, fleet_agent, flow, paths};
+use weirhinge_steering::{Decision, DropReason, PacketHeader};
 
 /// Maximum number of paths in one wave.
 const MAX_PATHS: usize = 64;
@@ -23,21 +23,21 @@
 }
 
 /// Searches for a flow that no target holds.
-fn unsuccessful_search(fixture: &mut Fixture, head: &PacketHead) -> Cost {
+fn unsuccessful_search(fixture: &mut Fixture, header: &PacketHeader) -> Cost {
     let mut cost = Cost::default();
-    let mut decision = fixture.client(head, LATER);
+    let mut decision = fixture.client(header, LATER);
     while let Decision::Forward(_) = &decision {
-        let asked = rows(&decision);
+        let asked = paths(&decision);
         assert!(asked.len() <= MAX_PATHS);
         cost.trips += 1 + asked.iter().map(Vec::len).max().unwrap_or_default();
         cost.balancer_packets += 2 * asked.len();
         cost.asked += asked.iter().map(Vec::len).sum::<usize>();
         for path in asked {
-            decision = fixture.bounced(head, path[path.len() - 1], LATER);
+            decision = fixture.bounced(header, path[path.len() - 1], LATER);
         }
     }
     assert_eq!(decision, Decision::Drop(DropReason::NobodyHoldsYet));
-    let end = fixture.search_again(head, LATER + 25);
+    let end = fixture.search_again(header, LATER + 25);
     assert!(matches!(end, Decision::Reset { .. }), "no target is asked twice");
     cost
 }
@@ -81,20 +81,20 @@
     now: u64,
     mut fate: impl FnMut() -> Fate,
 ) -> (bool, Decision) {
-    let head = data(flow(1));
+    let header = data(flow(1));
     while let Decision::Forward(forward) = &decision {
         if !forward.is_search() {
             return (forward.agent == holder, decision);
         }
         let mut next = Decision::Drop(DropReason::SearchGoesOn);
-        for path in rows(&decision) {
+        for path in paths(&decision) {
             match fate() {
                 Fate::Lost => {}
                 _ if path.contains(&holder) => {
                     fixture.balancer.holds(flow(1), holder, true, 0, now);
                 }
                 Fate::ReturnLost => {}
-                Fate::Asked => next = fixture.bounced(&head, path[path.len() - 1], now),
+                Fate::Asked => next = fixture.bounced(&header, path[path.len() - 1], now),
             }
         }
         decision = next;
@@ -112,15 +112,15 @@
         fates in fates(),
         pauses in prop::collection::vec(1_u64..200, 40),
     ) {
-        let holder = many_agent(holder.index(targets as usize) as u32);
+        let holder = fleet_agent(holder.index(targets as usize) as u32);
         let mut fixture = Fixture::new(&Store::with_many_targets(targets));
-        let head = data(flow(1));
+        let header = data(flow(1));
         let mut fates = fates.into_iter();
         let mut now = LATER;
         let lossless = std::iter::repeat_n(130, 20);
         let lossy_steps = pauses.len();
         for (step, pause) in pauses.into_iter().chain(lossless).enumerate() {
-            let decision = fixture.client(&head, now);
+            let decision = fixture.client(&header, now);
             let fate = || fates.next().filter(|_| step < lossy_steps).unwrap_or(Fate::Asked);
             let (is_found, last) = deliver(&mut fixture, decision, holder, now, fate);
             prop_assert!(!matches!(last, Decision::Reset { .. }), "reset at {now}");
@@ -140,7 +140,7 @@
     let mut fixture = Fixture::new(&Store::with_many_targets(41));
     let first_wave_paths = |fixture: &mut Fixture, port, now| {
         let decision = fixture.client(&data(flow(port)), now);
-        rows(&decision).len()
+        paths(&decision).len()
     };
     assert_eq!(first_wave_paths(&mut fixture, 1_000, LATER), 1);
     for port in 0..12 {
@@ -154,7 +154,7 @@
     }
     for port in 40..45 {
         fixture.client(&data(flow(port)), LATER + 40);
-        fixture.balancer.holds(flow(port), many_agent(3), true, 0, LATER + 42);
+        fixture.balancer.holds(flow(port), fleet_agent(3), true, 0, LATER + 42);
     }
     assert_eq!(first_wave_paths(&mut fixture, 1_003, LATER + 50), 1);
 }
--- a/crates/steering/tests/search_unresponsive.rs
+++ b/crates/steering/tests/search_unresponsive.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use support::{
-    Fixture, LATER, SERVICE, Store, agent, claim, data, flow, forwarded, opening, path, rows,
+    Fixture, LATER, SERVICE, Store, agent, claim, data, flow, forwarded, opening, path, paths,
 };
 use weirhinge_fleet::{ReturnReason, TargetClaim, TargetState, ZoneId};
 use weirhinge_steering::{Decision, DropReason, ResetReason};
@@ -13,18 +13,18 @@
 #[test]
 fn unresponsive_target_may_hold_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
-    let head = data(flow(1));
-    let unresponsive = forwarded(&fixture.client(&head, LATER)).agent;
+    let header = data(flow(1));
+    let unresponsive = forwarded(&fixture.client(&header, LATER)).agent;
     let mut now = LATER;
     for _ in 0..20 {
         now += 130;
-        let mut decision = fixture.search_again(&head, now);
+        let mut decision = fixture.search_again(&header, now);
         while let Decision::Forward(forward) = &decision {
             let from = forward.agent;
             if from == unresponsive {
                 break;
             }
-            decision = fixture.bounced(&head, from, now);
+            decision = fixture.bounced(&header, from, now);
         }
         assert!(!matches!(decision, Decision::Reset { .. }), "reset at {now}");
     }
@@ -35,22 +35,22 @@
     let mut store = Store::with_targets(2);
     store.target(2, SERVICE, None, 0);
     let mut fixture = Fixture::new(&store);
-    let head = data(flow(1));
+    let header = data(flow(1));
     let mut now = LATER;
-    let mut decision = fixture.client(&head, now);
+    let mut decision = fixture.client(&header, now);
     for _ in 0..20 {
         while let Decision::Forward(forward) = &decision {
             if forward.agent == agent(2) {
                 break;
             }
             let from = forward.agent;
-            decision = fixture.bounced(&head, from, now);
+            decision = fixture.bounced(&header, from, now);
         }
         if matches!(decision, Decision::Reset { .. }) {
             return;
         }
         now += 130;
-        decision = fixture.search_again(&head, now);
+        decision = fixture.search_again(&header, now);
     }
     panic!("the flow was not reset");
 }
@@ -59,19 +59,19 @@
 #[test]
 fn only_unresponsive_targets_are_asked_again() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    let head = data(flow(1));
-    let unresponsive = path(&fixture.client(&head, LATER))[1];
-    for path in rows(&fixture.search_again(&head, LATER + 130)) {
+    let header = data(flow(1));
+    let unresponsive = path(&fixture.client(&header, LATER))[1];
+    for path in paths(&fixture.search_again(&header, LATER + 130)) {
         if path != [unresponsive] {
-            fixture.bounced(&head, path[0], LATER + 131);
+            fixture.bounced(&header, path[0], LATER + 131);
         }
     }
-    let end = fixture.search_again(&head, LATER + 260);
+    let end = fixture.search_again(&header, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
-    assert_eq!(rows(&fixture.search_again(&head, LATER + 390)), vec![vec![unresponsive]]);
+    assert_eq!(paths(&fixture.search_again(&header, LATER + 390)), vec![vec![unresponsive]]);
     let found = fixture.balancer.holds(flow(1), unresponsive, true, 0, LATER + 400);
     assert_eq!(found, None);
-    assert_eq!(forwarded(&fixture.client(&head, LATER + 401)).agent, unresponsive);
+    assert_eq!(forwarded(&fixture.client(&header, LATER + 401)).agent, unresponsive);
 }
 
 /// After a power loss, an agent may restart while its target is gone for good. The agent sends
@@ -84,23 +84,23 @@
     let mut fixture = Fixture::new(&store);
     let mut outcomes = Vec::new();
     for port in [1, 2] {
-        let head = data(flow(port));
+        let header = data(flow(port));
         let began_at = LATER + u64::from(port) * 1_000;
         let mut now = began_at;
-        let mut decision = fixture.client(&head, now);
+        let mut decision = fixture.client(&header, now);
         while !matches!(decision, Decision::Reset { .. }) {
             assert!(now < began_at + 1_000, "the flow was not reset");
-            fixture.claimed(agent(3), now);
+            fixture.note_target_status(agent(3), now);
             let asked = match &decision {
-                Decision::Forward(_) => rows(&decision),
+                Decision::Forward(_) => paths(&decision),
                 _ => Vec::new(),
             };
             for path in asked.iter().filter(|path| !path.contains(&agent(3))) {
-                decision = fixture.bounced(&head, path[path.len() - 1], now);
+                decision = fixture.bounced(&header, path[path.len() - 1], now);
             }
             if !matches!(decision, Decision::Reset { .. }) {
                 now = fixture.balancer.next_due().expect("the packet is buffered").max(now);
-                decision = fixture.search_again(&head, now);
+                decision = fixture.search_again(&header, now);
             }
         }
         outcomes.push(now - began_at);
@@ -113,11 +113,11 @@
 #[test]
 fn unresponsive_recorded_target_may_hold_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
-    let head = data(flow(1));
-    fixture.client(&head, LATER);
+    let header = data(flow(1));
+    fixture.client(&header, LATER);
     for step in 1..30 {
-        fixture.claimed(agent(1), LATER + step * 130);
-        let decision = fixture.search_again(&head, LATER + step * 130);
+        fixture.note_target_status(agent(1), LATER + step * 130);
+        let decision = fixture.search_again(&header, LATER + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }));
     }
 }
@@ -128,11 +128,11 @@
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER - 3_000);
     let mut fixture = Fixture::new(&store);
-    let head = data(flow(1));
-    fixture.client(&head, LATER);
+    let header = data(flow(1));
+    fixture.client(&header, LATER);
     for step in 1..30 {
-        fixture.balancer.heard(agent(1), 0, LATER + step * 130 - 1);
-        let decision = fixture.search_again(&head, LATER + step * 130);
+        fixture.balancer.note_answer(agent(1), 0, LATER + step * 130 - 1);
+        let decision = fixture.search_again(&header, LATER + step * 130);
         assert!(!matches!(decision, Decision::Reset { .. }));
     }
 }
@@ -140,9 +140,9 @@
 #[test]
 fn targets_of_timed_out_path_are_asked_alone() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    let head = data(flow(1));
-    let asked = path(&fixture.client(&head, LATER));
-    let again = rows(&fixture.search_again(&head, LATER + 130));
+    let header = data(flow(1));
+    let asked = path(&fixture.client(&header, LATER));
+    let again = paths(&fixture.search_again(&header, LATER + 130));
     let single_agent_paths: Vec<Vec<Ipv4Addr>> = asked.iter().map(|agent| vec![*agent]).collect();
     assert_eq!(again, single_agent_paths);
 }
@@ -150,17 +150,17 @@
 #[test]
 fn timed_out_path_identifies_the_unresponsive_target() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    let head = data(flow(1));
-    let unresponsive = path(&fixture.client(&head, LATER))[1];
+    let header = data(flow(1));
+    let unresponsive = path(&fixture.client(&header, LATER))[1];
     let mut now = LATER + 130;
-    for path in rows(&fixture.search_again(&head, now)) {
+    for path in paths(&fixture.search_again(&header, now)) {
         if path != [unresponsive] {
             now += 1;
-            fixture.bounced(&head, path[0], now);
+            fixture.bounced(&header, path[0], now);
         }
     }
     // The unresponsive target is identified as such, and asked last for the next flow.
-    let end = fixture.search_again(&head, LATER + 260);
+    let end = fixture.search_again(&header, LATER + 260);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
     assert!(!path(&fixture.client(&data(flow(2)), LATER + 300)).contains(&unresponsive));
 }
@@ -172,26 +172,26 @@
 fn unresponsive_reported_target_does_not_delay_resets() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let unresponsive = agent(9);
-    fixture.claimed(unresponsive, LATER - 500);
+    fixture.note_target_status(unresponsive, LATER - 500);
     let mut outcomes = Vec::new();
     for port in [1, 2] {
-        let head = data(flow(port));
+        let header = data(flow(port));
         let mut now = LATER + u64::from(port) * 1_000;
         let began_at = now;
-        let mut decision = fixture.client(&head, now);
+        let mut decision = fixture.client(&header, now);
         while !matches!(decision, Decision::Reset { .. }) {
             assert!(now < began_at + 900, "not reset after {} ms", now - began_at);
             let asked = match &decision {
-                Decision::Forward(_) => rows(&decision),
+                Decision::Forward(_) => paths(&decision),
                 _ => Vec::new(),
             };
             for path in asked.iter().filter(|path| !path.contains(&unresponsive)) {
-                decision = fixture.bounced(&head, path[path.len() - 1], now);
+                decision = fixture.bounced(&header, path[path.len() - 1], now);
             }
             let timed_out = asked.iter().any(|path| path.contains(&unresponsive));
             if timed_out || !matches!(decision, Decision::Forward(_) | Decision::Reset { .. }) {
                 now = fixture.balancer.next_due().expect("the packet is buffered").max(now);
-                decision = fixture.search_again(&head, now);
+                decision = fixture.search_again(&header, now);
             }
         }
         outcomes.push(now - began_at);
@@ -217,10 +217,10 @@
 #[test]
 fn ended_target_is_not_asked() {
     let mut fixture = Fixture::new(&Store::with_targets(4));
-    fixture.balancer.target_ended(agent(2), LATER);
-    let head = data(flow(1));
-    assert!(!path(&fixture.client(&head, LATER)).contains(&agent(2)));
-    let (_, end) = fixture.bounce_to_the_end(&data(flow(2)), LATER);
+    fixture.balancer.note_target_ended(agent(2), LATER);
+    let header = data(flow(1));
+    assert!(!path(&fixture.client(&header, LATER)).contains(&agent(2)));
+    let (_, end) = fixture.bounce_until_search_ends(&data(flow(2)), LATER);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
     let end = fixture.search_again(&data(flow(2)), LATER + 25);
     assert!(matches!(end, Decision::Reset { reason: ResetReason::NobodyHolds, .. }));
@@ -234,25 +234,25 @@
 fn agent_is_asked_again_after_new_report() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let asked = |fixture: &mut Fixture, port| {
-        let head = data(flow(port));
-        let mut decision = fixture.client(&head, LATER + 200);
+        let header = data(flow(port));
+        let mut decision = fixture.client(&header, LATER + 200);
         let mut asked = Vec::new();
         while let Decision::Forward(_) = decision {
             let path = path(&decision);
-            decision = fixture.bounced(&head, path[path.len() - 1], LATER + 200);
+            decision = fixture.bounced(&header, path[path.len() - 1], LATER + 200);
             asked.extend(path);
         }
         asked.contains(&agent(2))
     };
-    fixture.balancer.target_ended(agent(2), LATER);
+    fixture.balancer.note_target_ended(agent(2), LATER);
     // A digest that the agent sent before its final report, and that arrives after it.
     let leaving = TargetClaim { leaving: true, ..claim(SERVICE) };
-    fixture.balancer.claimed(agent(2), ZoneId::of("a"), &leaving, LATER + 1);
+    fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &leaving, LATER + 1);
     assert!(!asked(&mut fixture, 1));
-    fixture.claimed(agent(2), LATER + 100);
+    fixture.note_target_status(agent(2), LATER + 100);
     assert!(asked(&mut fixture, 2), "the agent's next process has started");
-    fixture.balancer.target_ended(agent(2), LATER);
-    fixture.balancer.heard(agent(2), 0, LATER + 150);
+    fixture.balancer.note_target_ended(agent(2), LATER);
+    fixture.balancer.note_answer(agent(2), 0, LATER + 150);
     assert!(asked(&mut fixture, 3));
 }
 
@@ -262,7 +262,7 @@
 fn ended_report_does_not_apply_to_next_target_at_address() {
     let mut store = Store::with_targets(2);
     let mut fixture = Fixture::new(&store);
-    fixture.balancer.target_ended(agent(2), LATER);
+    fixture.balancer.note_target_ended(agent(2), LATER);
     store.target(2, SERVICE, None, LATER + 500);
     store.target(2, SERVICE, Some(TargetState::Ready), LATER + 900);
     fixture.view = store.view();
@@ -276,13 +276,13 @@
 #[test]
 fn shutdown_report_expires_without_new_report() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
-    let head = opening(flow(9_999));
-    fixture.returned(&head, agent(2), ReturnReason::Leaving, LATER);
+    let header = opening(flow(9_999));
+    fixture.returned(&header, agent(2), ReturnReason::Leaving, LATER);
     let chosen = |fixture: &mut Fixture, port, now| {
         forwarded(&fixture.client(&opening(flow(port)), now)).agent
     };
-    fixture.balancer.heard(agent(1), 0, LATER + 900);
+    fixture.balancer.note_answer(agent(1), 0, LATER + 900);
     assert!((100..200).all(|port| chosen(&mut fixture, port, LATER + 1_000) != agent(2)));
-    fixture.balancer.heard(agent(1), 0, LATER + 8_900);
+    fixture.balancer.note_answer(agent(1), 0, LATER + 8_900);
     assert!((300..400).any(|port| chosen(&mut fixture, port, LATER + 9_000) == agent(2)));
 }
--- a/crates/steering/tests/service_time.rs
+++ b/crates/steering/tests/service_time.rs
@@ -91,11 +91,11 @@
         deliver(&mut beside, &request(port, 0), now);
     }
     assert!(service_ms(&beside, now + 400) >= Some(100), "{:?}", beside.load(now + 400));
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(beside.delivery(&arrival(&head), now + 600), busy);
+    assert_eq!(beside.delivery(&arrival(&header), now + 600), busy);
     // One that found no better target is taken: some target has to.
-    let mut may_wait = arrival(&head);
+    let mut may_wait = arrival(&header);
     may_wait.may_wait = true;
     assert!(matches!(beside.delivery(&may_wait, now + 600), DeliveryDecision::Deliver { .. }));
 }
@@ -163,7 +163,7 @@
 fn a_full_room_still_sends_openings_back() {
     let mut beside = new_agent();
     fill(&mut beside);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(beside.delivery(&arrival(&head), 1), busy);
+    assert_eq!(beside.delivery(&arrival(&header), 1), busy);
 }
--- a/crates/steering/tests/support/asking.rs
+++ b/crates/steering/tests/support/asking.rs
@@ -46,9 +46,9 @@
     rest: OpeningDemand,
     now: Millis,
 ) -> DeliveryDecision {
-    let head = opening(flow(port));
+    let header = opening(flow(port));
     let granted = Some(rest);
-    let answer = Arrival { balancer: balancer(number), granted, ..arrival(&head) };
+    let answer = Arrival { balancer: balancer(number), granted, ..arrival(&header) };
     beside.delivery(&answer, now)
 }
 
--- a/crates/steering/tests/support/beside.rs
+++ b/crates/steering/tests/support/beside.rs
@@ -1,7 +1,7 @@
 //! An agent beside a target that a test answers for.
 
 use weirhinge_fleet::ServiceId;
-use weirhinge_steering::{Agent, Arrival, DeliveryDecision, Flags, FlowKey, PacketHead};
+use weirhinge_steering::{Agent, Arrival, DeliveryDecision, Flags, FlowKey, PacketHeader};
 
 use super::{SERVICE, agent, data, flow, packet};
 
@@ -11,9 +11,9 @@
     agent
 }
 
-pub fn arrival(head: &PacketHead) -> Arrival<'_> {
+pub fn arrival(header: &PacketHeader) -> Arrival<'_> {
     Arrival {
-        head,
+        header,
         packet: b"packet",
         balancer: agent(100),
         service: ServiceId::of(SERVICE),
@@ -24,25 +24,25 @@
     }
 }
 
-pub fn deliver(agent: &mut Agent, head: &PacketHead, now: u64) -> u32 {
-    match agent.delivery(&arrival(head), now) {
+pub fn deliver(agent: &mut Agent, header: &PacketHeader, now: u64) -> u32 {
+    match agent.delivery(&arrival(header), now) {
         DeliveryDecision::Deliver { echo, .. } => echo,
         other => panic!("expected a delivery, got {other:?}"),
     }
 }
 
 /// A packet of the target on a flow.
-pub fn output(flow: FlowKey, flags: Flags, length: u16) -> PacketHead {
-    let head = packet(flow, flags, length);
-    PacketHead { source: head.destination, destination: head.source, ..head }
+pub fn output(flow: FlowKey, flags: Flags, length: u16) -> PacketHeader {
+    let header = packet(flow, flags, length);
+    PacketHeader { source: header.destination, destination: header.source, ..header }
 }
 
-pub fn answer(flow: FlowKey) -> PacketHead {
+pub fn answer(flow: FlowKey) -> PacketHeader {
     output(flow, Flags { ack: true, ..Flags::default() }, 400)
 }
 
-pub fn request(port: u16, sequence: u32) -> PacketHead {
-    PacketHead { sequence, ..data(flow(port)) }
+pub fn request(port: u16, sequence: u32) -> PacketHeader {
+    PacketHeader { sequence, ..data(flow(port)) }
 }
 
 /// Fills the room of five: four slots and a quarter more.
--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{ReturnReason, TargetState, ZoneId};
-use weirhinge_steering::{Balancer, ClientPacket, Context, Decision, FleetView, PacketHead};
+use weirhinge_steering::{Balancer, ClientPacket, Context, Decision, FleetView, PacketHeader};
 
 use super::{SERVICE, Store, agent, claim, flow, forwarded, opening};
 
@@ -33,74 +33,79 @@
     }
 
     /// Decides a client's packet while helpers take over unknown flows.
-    pub fn pressed(&mut self, head: &PacketHead, helpers: &[Ipv4Addr], now: u64) -> Decision {
+    pub fn client_with_helpers(
+        &mut self,
+        header: &PacketHeader,
+        helpers: &[Ipv4Addr],
+        now: u64,
+    ) -> Decision {
         let (balancer, context) = self.parts(now);
         let context = Context { helpers, ..context };
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.client_packet(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    pub fn client(&mut self, head: &PacketHead, now: u64) -> Decision {
+    pub fn client(&mut self, header: &PacketHeader, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.client_packet(&context, ClientPacket { header, bytes: b"packet" })
     }
 
     /// An agent returns a packet that was sent without a grant.
     pub fn returned(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(head, from, reason, false, now)
+        self.returned_of(header, from, reason, false, now)
     }
 
     /// An agent returns an opening packet that was sent for a grant.
     pub fn returned_granted(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(head, from, reason, true, now)
+        self.returned_of(header, from, reason, true, now)
     }
 
     fn returned_of(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         granted: bool,
         now: u64,
     ) -> Decision {
         let (balancer, context) = self.parts(now);
-        let packet = ClientPacket { head, bytes: b"packet" };
+        let packet = ClientPacket { header, bytes: b"packet" };
         balancer.returned_packet(&context, packet, from, reason, granted)
     }
 
-    pub fn bounced(&mut self, head: &PacketHead, from: Ipv4Addr, now: u64) -> Decision {
-        self.returned(head, from, ReturnReason::Bounced, now)
+    pub fn bounced(&mut self, header: &PacketHeader, from: Ipv4Addr, now: u64) -> Decision {
+        self.returned(header, from, ReturnReason::Bounced, now)
     }
 
     /// An agent in zone `a` reports a live target of the service.
-    pub fn claimed(&mut self, agent: Ipv4Addr, now: u64) {
-        self.balancer.claimed(agent, ZoneId::of("a"), &claim(SERVICE), now);
+    pub fn note_target_status(&mut self, agent: Ipv4Addr, now: u64) {
+        self.balancer.note_target_status(agent, ZoneId::of("a"), &claim(SERVICE), now);
     }
 
-    pub fn search_again(&mut self, head: &PacketHead, now: u64) -> Decision {
+    pub fn search_again(&mut self, header: &PacketHeader, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.search_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.search_again(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    pub fn due_undecided(&mut self, now: u64) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_undecided(&mut self, now: u64) -> Vec<(PacketHeader, Vec<u8>)> {
         let (balancer, context) = self.parts(now);
         balancer.due_undecided(&context)
     }
 
-    pub fn decide_again(&mut self, head: &PacketHead, now: u64) -> Option<Decision> {
+    pub fn decide_again(&mut self, header: &PacketHeader, now: u64) -> Option<Decision> {
         let (balancer, context) = self.parts(now);
-        balancer.decide_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.decide_again(&context, ClientPacket { header, bytes: b"packet" })
     }
 
     /// Opens a flow, and the selected target answers. Returns its agent.
@@ -112,20 +117,24 @@
 
     /// Bounces a packet until the balancer no longer forwards it. Returns the agents visited and
     /// the last decision.
-    pub fn bounce_to_the_end(&mut self, head: &PacketHead, now: u64) -> (Vec<Ipv4Addr>, Decision) {
+    pub fn bounce_until_search_ends(
+        &mut self,
+        header: &PacketHeader,
+        now: u64,
+    ) -> (Vec<Ipv4Addr>, Decision) {
         let mut visited = Vec::new();
-        let mut decision = self.client(head, now);
+        let mut decision = self.client(header, now);
         while let Decision::Forward(forward) = &decision {
             visited.push(forward.agent);
             assert!(visited.len() < 100, "the search does not end");
-            decision = self.bounced(head, *visited.last().expect("an agent was pushed"), now);
+            decision = self.bounced(header, *visited.last().expect("an agent was pushed"), now);
         }
         (visited, decision)
     }
 }
 
 /// Six targets, half of them in zone `b`, which some views place in another region.
-pub fn two_groups() -> Store {
+pub fn targets_in_two_zones() -> Store {
     let mut store = Store::with_targets(3);
     for number in 51..=53 {
         store.target(number, SERVICE, Some(TargetState::Ready), 0);
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -14,9 +14,9 @@
     TargetClaim, TargetLoad, TargetRecord, TargetState, Update, VersionedConfiguration,
     VersionedTarget, ZoneNews,
 };
-use weirhinge_steering::{Decision, Flags, FleetView, FlowKey, Forward, Locality, PacketHead};
+use weirhinge_steering::{Decision, Flags, FleetView, FlowKey, Forward, Locality, PacketHeader};
 
-pub use fixture::{Fixture, LATER, is_far, two_groups};
+pub use fixture::{Fixture, LATER, is_far, targets_in_two_zones};
 
 pub const SERVICE: &str = "sheets";
 pub const OTHER: &str = "dispatch";
@@ -30,7 +30,7 @@
 }
 
 /// An agent of a large fleet.
-pub fn many_agent(number: u32) -> Ipv4Addr {
+pub fn fleet_agent(number: u32) -> Ipv4Addr {
     Ipv4Addr::from_bits(Ipv4Addr::new(10, 1, 0, 0).to_bits() + number)
 }
 
@@ -63,8 +63,8 @@
     FlowKey { client, service: endpoint() }
 }
 
-pub fn packet(flow: FlowKey, flags: Flags, length: u16) -> PacketHead {
-    PacketHead {
+pub fn packet(flow: FlowKey, flags: Flags, length: u16) -> PacketHeader {
+    PacketHeader {
         source: flow.client,
         destination: flow.service,
         flags,
@@ -75,11 +75,11 @@
     }
 }
 
-pub fn opening(flow: FlowKey) -> PacketHead {
-    PacketHead { acknowledgment: 0, ..packet(flow, Flags { syn: true, ..Flags::default() }, 0) }
+pub fn opening(flow: FlowKey) -> PacketHeader {
+    PacketHeader { acknowledgment: 0, ..packet(flow, Flags { syn: true, ..Flags::default() }, 0) }
 }
 
-pub fn data(flow: FlowKey) -> PacketHead {
+pub fn data(flow: FlowKey) -> PacketHeader {
     packet(flow, Flags { ack: true, ..Flags::default() }, 100)
 }
 
@@ -91,17 +91,17 @@
 }
 
 /// Returns the paths of agents that the search packets of a decision visit.
-pub fn rows(decision: &Decision) -> Vec<Vec<Ipv4Addr>> {
+pub fn paths(decision: &Decision) -> Vec<Vec<Ipv4Addr>> {
     let forward = forwarded(decision);
-    [vec![path_of(forward)], forward.further_rows.clone()].concat()
+    [vec![forward_path(forward)], forward.further_rows.clone()].concat()
 }
 
 /// Returns the first path of a decision's search packets, in order.
 pub fn path(decision: &Decision) -> Vec<Ipv4Addr> {
-    path_of(forwarded(decision))
+    forward_path(forwarded(decision))
 }
 
-pub fn path_of(forward: &Forward) -> Vec<Ipv4Addr> {
+pub fn forward_path(forward: &Forward) -> Vec<Ipv4Addr> {
     [vec![forward.agent], forward.next.clone()].concat()
 }
 
@@ -156,7 +156,7 @@
         let mut store = Self::default();
         store.route(&[(SERVICE, 1)]);
         for number in 0..targets {
-            let record = record(many_agent(number), SERVICE, "a", TargetState::Ready);
+            let record = record(fleet_agent(number), SERVICE, "a", TargetState::Ready);
             store.change_target(format!("many-{number}"), Some(record), 0);
         }
         store
@@ -169,7 +169,7 @@
             id: format!("many-{number}"),
             position: self.position(),
             present: true,
-            record: Some(record(many_agent(number), service, "a", TargetState::Ready)),
+            record: Some(record(fleet_agent(number), service, "a", TargetState::Ready)),
         });
         let targets = targets.collect();
         self.replica.apply(Update { targets, ..self.change() }, 0);
--- a/crates/steering/tests/support/queue.rs
+++ b/crates/steering/tests/support/queue.rs
@@ -4,8 +4,8 @@
 
 use weirhinge_fleet::{ReturnReason, Route, ServiceId, TargetLoad};
 use weirhinge_steering::{
-    Context, Decision, FlowKey, GrantAnswer, PacketHead, ResetReason, RoomGrant, RoomRequest,
-    SettledOpening, caller_rank,
+    Context, Decision, FlowKey, GrantAnswer, PacketHeader, ResetReason, RoomGrant, RoomRequest,
+    SettledOpening, client_rank,
 };
 
 use super::{Fixture, SERVICE, Store, agent, endpoint, forwarded, opening, route_to};
@@ -44,7 +44,7 @@
 /// Flows of callers that go before nearly all others.
 pub fn first_ranked(count: usize) -> Vec<FlowKey> {
     let callers = (1..).map(caller);
-    let callers = callers.filter(|caller| caller_rank(*caller, 0).value() < 4_096);
+    let callers = callers.filter(|caller| client_rank(*caller, 0).value() < 4_096);
     callers.take(count).map(flow_of).collect()
 }
 
@@ -53,8 +53,8 @@
 }
 
 /// The opening packet's copy of this number.
-pub fn copy(flow: FlowKey, number: u32) -> PacketHead {
-    PacketHead { acknowledgment: number, ..opening(flow) }
+pub fn copy(flow: FlowKey, number: u32) -> PacketHeader {
+    PacketHeader { acknowledgment: number, ..opening(flow) }
 }
 
 pub fn is_overloaded(decision: &Decision) -> bool {
@@ -67,17 +67,17 @@
 
 /// The flow that a grant was used for.
 pub fn granted_flow(answer: &GrantAnswer) -> Option<FlowKey> {
-    answer.granted.as_ref().map(|opening| opening.head.client_flow())
+    answer.granted.as_ref().map(|opening| opening.header.client_flow())
 }
 
 impl Fixture {
     /// An opening finds no room at any target.
     pub fn open_at_busy(&mut self, flow: FlowKey, now: u64) -> Decision {
-        let head = opening(flow);
-        match self.client(&head, now) {
+        let header = opening(flow);
+        match self.client(&header, now) {
             Decision::Forward(forward) => {
-                self.balancer.heard(forward.agent, 0, now);
-                self.returned(&head, forward.agent, ReturnReason::Busy, now)
+                self.balancer.note_answer(forward.agent, 0, now);
+                self.returned(&header, forward.agent, ReturnReason::Busy, now)
             }
             other => other,
         }
@@ -106,7 +106,7 @@
     pub fn serve(&mut self, number: u8, now: u64) -> Option<(FlowKey, u16)> {
         let granted = self.grant(number, now).granted?;
         let left = forwarded(&granted.decision).granted.expect("what is left is told");
-        Some((granted.head.client_flow(), left.others.count))
+        Some((granted.header.client_flow(), left.others.count))
     }
 
     pub fn due_refusals(&mut self, now: u64) -> Vec<SettledOpening> {
--- a/crates/steering/tests/unanswered_opening.rs
+++ b/crates/steering/tests/unanswered_opening.rs
@@ -24,7 +24,7 @@
     let holder = forwarded(&fixture.client(&opening(flow(1)), LATER)).agent;
     let second = forwarded(&fixture.client(&opening(flow(1)), LATER + RETRANSMISSION_MS)).agent;
     assert_ne!(holder, second);
-    let (visited, end) = fixture.bounce_to_the_end(&data(flow(1)), LATER + NEXT_PACKET_MS);
+    let (visited, end) = fixture.bounce_until_search_ends(&data(flow(1)), LATER + NEXT_PACKET_MS);
     assert!(visited.contains(&holder), "expected {holder} among {visited:?}, then {end:?}");
 }
 
@@ -36,6 +36,6 @@
     let first = forwarded(&fixture.client(&opening(flow(1)), LATER)).agent;
     let returned = fixture.returned(&opening(flow(1)), first, ReturnReason::Bounced, LATER + 5);
     assert!(matches!(returned, Decision::Forward(_)));
-    let (visited, _) = fixture.bounce_to_the_end(&data(flow(1)), LATER + NEXT_PACKET_MS);
+    let (visited, _) = fixture.bounce_until_search_ends(&data(flow(1)), LATER + NEXT_PACKET_MS);
     assert!(visited.contains(&first), "expected {first} among {visited:?}");
 }
--- a/crates/steering/tests/undecided.rs
+++ b/crates/steering/tests/undecided.rs
@@ -4,7 +4,7 @@
 
 use support::{Fixture, LATER, Store, agent, data, flow, forwarded, opening};
 use weirhinge_fleet::Timing;
-use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, PacketHead};
+use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, PacketHeader};
 
 /// A balancer that starts once lost the packets of its first milliseconds, and their
 /// clients waited for 200 to 800 ms until they sent them again.
@@ -19,11 +19,11 @@
     assert!(fixture.due_undecided(LATER + 10).is_empty(), "nothing was learned yet");
     fixture.view = Store::with_targets(2).view();
     let due = fixture.due_undecided(LATER + 30);
-    let heads: Vec<PacketHead> = due.iter().map(|(head, _)| *head).collect();
+    let heads: Vec<PacketHeader> = due.iter().map(|(header, _)| *header).collect();
     let newest_first = [data(flow(4)), opening(flow(3)), opening(flow(2)), opening(flow(1))];
     assert_eq!(heads, newest_first);
-    for head in &heads {
-        let decision = fixture.decide_again(head, LATER + 30);
+    for header in &heads {
+        let decision = fixture.decide_again(header, LATER + 30);
         assert!(matches!(decision, Some(Decision::Forward(_))), "{decision:?}");
     }
     assert!(fixture.due_undecided(LATER + 40).is_empty(), "each is decided about once");
@@ -37,7 +37,7 @@
     assert_eq!(empty.client(&opening(flow(2)), LATER), dropped);
     empty.due_undecided(LATER + 8);
     assert!(empty.due_undecided(LATER + 16).is_empty());
-    empty.claimed(agent(9), LATER + 20);
+    empty.note_target_status(agent(9), LATER + 20);
     let due = empty.due_undecided(LATER + 24);
     assert_eq!(due.len(), 1);
     let decision = empty.decide_again(&due[0].0, LATER + 24);
@@ -58,7 +58,7 @@
     }
     fixture.view = Store::with_targets(2).view();
     let due = fixture.due_undecided(LATER + 50);
-    let ports: Vec<u16> = due.iter().map(|(head, _)| head.source.port()).collect();
+    let ports: Vec<u16> = due.iter().map(|(header, _)| header.source.port()).collect();
     assert_eq!(ports, (29..=40).rev().collect::<Vec<u16>>());
 }
 
