--- a/crates/steering/src/client_rank.rs
+++ b/crates/steering/src/client_rank.rs
@@ -43,8 +43,8 @@
         self.0
     }
 
-    /// Returns the rank of a client that already uses this many times its fair share. It
-    /// comes after all clients that use fewer, and in the order of the original ranks among equals.
+    /// Returns the rank of a client that already uses this many times its fair share. It comes
+    /// after all clients that use fewer, and in the order of the original ranks among equals.
     pub fn with_shares_used(self, shares_used: u32) -> Self {
         if shares_used == 0 {
             return self;
--- a/crates/steering/src/expected_time.rs
+++ b/crates/steering/src/expected_time.rs
@@ -40,20 +40,20 @@
 
     /// Returns the cost of one more request at a target, in steps. Each waiting request adds its
     /// share of a service time, even while slots are free, because more requests arrive in the
-    /// meantime. `charge_permille` is the surcharge for the distance, in thousandths of a typical
-    /// service time.
+    /// meantime. `surcharge_permille` is the surcharge for the distance, in thousandths of a
+    /// typical service time.
     pub fn cost(
         &self,
         candidate: &Candidate,
-        charge_permille: u64,
+        surcharge_permille: u64,
         statuses: &AgentStatuses,
         now: Millis,
     ) -> u64 {
         let (service_ms, wait_ms) = self.times_of(candidate, statuses, now);
         let waiting_per_slot =
             f64::from(statuses.load(candidate.agent)) / f64::from(candidate.slots);
-        let charge_ms = self.service_ms * charge_permille as f64 / 1_000.0;
-        let cost_ms = service_ms * (1.0 + waiting_per_slot) + wait_ms + charge_ms;
+        let surcharge_ms = self.service_ms * surcharge_permille as f64 / 1_000.0;
+        let cost_ms = service_ms * (1.0 + waiting_per_slot) + wait_ms + surcharge_ms;
         // A float-to-integer cast saturates at the bounds of the integer.
         (cost_ms * COST_STEPS_PER_SERVICE_TIME / self.service_ms).round() as u64
     }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -3,9 +3,9 @@
 //! The crate is pure logic: packets, messages and times are passed in, decisions are returned. Only
 //! a target knows for certain which flows it holds; it bounces packets of any other flow. A
 //! [`Balancer`] selects a target for an opening packet, remembers the choice, and searches the
-//! other targets when a packet is returned. An [`Agent`] runs next to one target, checks that each
-//! packet is meant for it, and reports to balancers what the target holds. All state is in memory
-//! and is rebuilt after a restart.
+//! other targets when a packet is returned. An [`Agent`] is co-located with one target, checks that
+//! each packet is meant for it, and reports to balancers what the target holds. All state is in
+//! memory and is rebuilt after a restart.
 
 mod agent;
 mod agent_status;
--- a/crates/steering/src/pending_openings.rs
+++ b/crates/steering/src/pending_openings.rs
@@ -89,7 +89,7 @@
     /// Removes and returns the packet to be served next, if there is capacity for it:
     /// `has_capacity` returns that for urgent packets (`true`) and for others (`false`).
     pub fn take_next(&mut self, has_capacity: impl Fn(bool) -> bool) -> Option<PendingOpening> {
-        let index = self.first()?;
+        let index = self.next_index()?;
         if !has_capacity(self.openings[index].urgent) {
             return None;
         }
@@ -98,10 +98,10 @@
 
     /// Whether the packet to be served next is urgent; none if no packet waits.
     pub fn next_is_urgent(&self) -> Option<bool> {
-        self.first().map(|index| self.openings[index].urgent)
+        self.next_index().map(|index| self.openings[index].urgent)
     }
 
-    fn first(&self) -> Option<usize> {
+    fn next_index(&self) -> Option<usize> {
         let urgent = self.openings.iter().rposition(|opening| opening.urgent);
         urgent.or_else(|| self.openings.len().checked_sub(1))
     }
--- a/crates/steering/src/pending_packets.rs
+++ b/crates/steering/src/pending_packets.rs
@@ -17,7 +17,7 @@
     header: PacketHeader,
     bytes: Vec<u8>,
     buffered_at: Millis,
-    /// When the packet is decided again unless something ends its wait before.
+    /// When to decide about the packet again, unless its target becomes known before.
     due_at: Millis,
 }
 
--- a/crates/steering/src/route_history.rs
+++ b/crates/steering/src/route_history.rs
@@ -20,7 +20,7 @@
 }
 
 impl RouteHistory {
-    /// Records the routes in force. Must be called regularly, so that no version is missed.
+    /// Records the routes in effect. Must be called regularly, so that no version is missed.
     pub(crate) fn note(&mut self, view: &FleetView) {
         let Some(version) = view.label().map(|label| label.version) else { return };
         if self.version == Some(version) {
--- a/crates/steering/src/view.rs
+++ b/crates/steering/src/view.rs
@@ -169,7 +169,7 @@
 }
 
 impl Candidate {
-    /// Whether the target's current record, as ready, was received after this time. Reports that
+    /// Whether the target's current record is ready and was received after this time. Reports that
     /// were received before then are about an earlier target at the same address.
     pub fn is_newer_than(&self, time: Millis) -> bool {
         self.availability == Availability::Ready && self.recorded && self.learned_at > time
@@ -206,7 +206,7 @@
             let parts = route.parts.iter();
             let parts = parts.map(|part| (ServiceId::of(&part.service), part.weight)).collect();
             let allowed = route.permitted_regions.iter().map(|region| RegionId::of(region));
-            let choice = CompiledRoute {
+            let compiled = CompiledRoute {
                 parts,
                 priority: route.priority,
                 urgent: false,
@@ -214,7 +214,7 @@
                 timeout_ms: route.timeout_ms,
                 permitted_regions: (!route.permitted_regions.is_empty()).then(|| allowed.collect()),
             };
-            view.routes.insert(route.endpoint(), choice);
+            view.routes.insert(route.endpoint(), compiled);
         }
         mark_urgent_routes(&mut view.routes);
         let policies = configuration.cold_starts.iter();
@@ -309,7 +309,7 @@
     }
 }
 
-/// Marks the routes that share a service with a route of lower priority as urgent.
+/// Marks as urgent the routes that share a service with a route of lower priority.
 fn mark_urgent_routes(routes: &mut HashMap<SocketAddrV4, CompiledRoute>) {
     let mut least_urgent: HashMap<ServiceId, u32> = HashMap::new();
     for route in routes.values() {
@@ -340,7 +340,8 @@
             (is_present && is_routed, is_present, entry.target.position)
         };
         let known = newest.get(&record.machine());
-        if known.is_none_or(|(known, their)| rank(known, their) < rank(entry, record)) {
+        if known.is_none_or(|(known, known_record)| rank(known, known_record) < rank(entry, record))
+        {
             newest.insert(record.machine(), (entry, record));
         }
     }
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -23,13 +23,13 @@
     /// A client opens a flow, and no answer arrives.
     Opening(u16),
     /// An agent answered a packet.
-    Heard(u8),
-    /// An agent reported its target, and whether the agent is shutting down.
-    Claimed(u8, bool),
+    Answered(u8),
+    /// An agent reported its target's status, and whether the agent is shutting down.
+    StatusReported(u8, bool),
     /// An agent returned an opening packet.
     Returned(u8, ReturnReason),
     /// Time passes.
-    Passes(Millis),
+    TimePasses(Millis),
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -42,10 +42,11 @@
     ];
     let event = prop_oneof![
         6 => (0..2_000u16).prop_map(Event::Opening),
-        1 => number.clone().prop_map(Event::Heard),
-        2 => (number.clone(), any::<bool>()).prop_map(|(agent, leaving)| Event::Claimed(agent, leaving)),
+        1 => number.clone().prop_map(Event::Answered),
+        2 => (number.clone(), any::<bool>())
+            .prop_map(|(agent, leaving)| Event::StatusReported(agent, leaving)),
         2 => (number, reason).prop_map(|(agent, reason)| Event::Returned(agent, reason)),
-        3 => (1..900u64).prop_map(Event::Passes),
+        3 => (1..900u64).prop_map(Event::TimePasses),
     ];
     prop::collection::vec(event, 0..120)
 }
@@ -55,15 +56,15 @@
         Event::Opening(port) => {
             fixture.client(&opening(flow(port)), *now);
         }
-        Event::Heard(number) => fixture.balancer.note_answer(agent(number), 0, *now),
-        Event::Claimed(number, leaving) => {
+        Event::Answered(number) => fixture.balancer.note_answer(agent(number), 0, *now),
+        Event::StatusReported(number, leaving) => {
             let claim = weirhinge_fleet::TargetClaim { leaving, ..claim(SERVICE) };
             fixture.balancer.note_target_status(agent(number), ZoneId::of("a"), &claim, *now);
         }
         Event::Returned(number, reason) => {
             fixture.returned(&opening(flow(9_999)), agent(number), reason, *now);
         }
-        Event::Passes(elapsed_ms) => *now += elapsed_ms,
+        Event::TimePasses(elapsed_ms) => *now += elapsed_ms,
     }
 }
 
--- a/crates/steering/tests/search.rs
+++ b/crates/steering/tests/search.rs
@@ -135,7 +135,7 @@
     let first = path(&fixture.client(&header, LATER));
     let second_wave = paths(&fixture.bounced(&header, first[7], LATER + 10));
     let continues = Decision::Drop(DropReason::SearchGoesOn);
-    assert_eq!(fixture.client(&header, LATER + 11), continues, "further packets wait");
+    assert_eq!(fixture.client(&header, LATER + 11), continues, "further packets are not forwarded");
     assert_eq!(fixture.bounced(&header, second_wave[1][3], LATER + 12), continues);
     let end = fixture.bounced(&header, second_wave[0][7], LATER + 13);
     assert_eq!(end, Decision::Drop(DropReason::NobodyHoldsYet));
@@ -150,9 +150,11 @@
     assert_eq!(forwarded(&decision).agent, known);
     let mut chosen = Vec::new();
     for port in 2..40 {
-        let opened = fixture.client_with_helpers(&opening(flow(port)), &helpers, LATER + 1);
-        assert_eq!(fixture.client_with_helpers(&data(flow(port)), &helpers, LATER + 2), opened);
-        let Decision::HandOff { helper } = opened else { panic!("kept {opened:?}") };
+        let handed_off = fixture.client_with_helpers(&opening(flow(port)), &helpers, LATER + 1);
+        assert_eq!(fixture.client_with_helpers(&data(flow(port)), &helpers, LATER + 2), handed_off);
+        let Decision::HandOff { helper } = handed_off else {
+            panic!("expected Decision::HandOff, got {handed_off:?}")
+        };
         chosen.push(helper);
     }
     chosen.sort();
--- a/crates/steering/tests/search_unresponsive.rs
+++ b/crates/steering/tests/search_unresponsive.rs
@@ -82,7 +82,7 @@
     store.target(3, SERVICE, Some(TargetState::Draining), LATER - 9_000);
     store.target(3, SERVICE, None, LATER - 3_000);
     let mut fixture = Fixture::new(&store);
-    let mut outcomes = Vec::new();
+    let mut reset_delays_ms = Vec::new();
     for port in [1, 2] {
         let header = data(flow(port));
         let began_at = LATER + u64::from(port) * 1_000;
@@ -103,13 +103,16 @@
                 decision = fixture.search_again(&header, now);
             }
         }
-        outcomes.push(now - began_at);
+        reset_delays_ms.push(now - began_at);
     }
-    assert!(outcomes[0] >= 300, "reset after one unanswered packet: {outcomes:?} ms");
-    assert!(outcomes[1] < 50, "the search for the second flow should not ask it: {outcomes:?} ms");
+    assert!(reset_delays_ms[0] >= 300, "reset after one unanswered packet: {reset_delays_ms:?} ms");
+    assert!(
+        reset_delays_ms[1] < 50,
+        "the search for the second flow should not ask it: {reset_delays_ms:?} ms"
+    );
 }
 
-/// A target with a record may only be paused.
+/// A recorded target may just be paused.
 #[test]
 fn unresponsive_recorded_target_may_hold_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
@@ -173,7 +176,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let unresponsive = agent(9);
     fixture.note_target_status(unresponsive, LATER - 500);
-    let mut outcomes = Vec::new();
+    let mut reset_delays_ms = Vec::new();
     for port in [1, 2] {
         let header = data(flow(port));
         let mut now = LATER + u64::from(port) * 1_000;
@@ -194,10 +197,10 @@
                 decision = fixture.search_again(&header, now);
             }
         }
-        outcomes.push(now - began_at);
+        reset_delays_ms.push(now - began_at);
     }
     // The search for the second flow does not ask it.
-    assert!(outcomes[1] < 50, "flows were reset after {outcomes:?} ms");
+    assert!(reset_delays_ms[1] < 50, "flows were reset after {reset_delays_ms:?} ms");
 }
 
 #[test]
--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -57,7 +57,7 @@
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(header, from, reason, false, now)
+        self.return_packet(header, from, reason, false, now)
     }
 
     /// An agent returns an opening packet that was sent for a grant.
@@ -68,10 +68,10 @@
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(header, from, reason, true, now)
+        self.return_packet(header, from, reason, true, now)
     }
 
-    fn returned_of(
+    fn return_packet(
         &mut self,
         header: &PacketHeader,
         from: Ipv4Addr,
@@ -110,9 +110,9 @@
 
     /// Opens a flow, and the selected target answers. Returns its agent.
     pub fn open(&mut self, port: u16, now: u64) -> Ipv4Addr {
-        let chosen = forwarded(&self.client(&opening(flow(port)), now)).agent;
-        self.balancer.holds(flow(port), chosen, false, 0, now);
-        chosen
+        let selected = forwarded(&self.client(&opening(flow(port)), now)).agent;
+        self.balancer.holds(flow(port), selected, false, 0, now);
+        selected
     }
 
     /// Bounces a packet until the balancer no longer forwards it. Returns the agents visited and
