--- a/crates/relay/src/balancer/queueing.rs
+++ b/crates/relay/src/balancer/queueing.rs
@@ -54,8 +54,8 @@
     }
 
     fn resolve(&self, opening: ResolvedOpening, now: Millis) {
-        let ResolvedOpening { head, bytes, decision, .. } = opening;
-        self.carry_out(decision, &head, &bytes, now);
+        let ResolvedOpening { header, bytes, decision, .. } = opening;
+        self.carry_out(decision, &header, &bytes, now);
     }
 
     pub(super) fn show_queue_length(&self) {
--- a/crates/steering/src/agent/decision.rs
+++ b/crates/steering/src/agent/decision.rs
@@ -5,15 +5,15 @@
 use weirhinge_fleet::{ReturnReason, SearchPath};
 
 use crate::packet::FlowKey;
-use crate::waiting_room::WaitedOpening;
+use crate::pending_openings::PendingOpening;
 
 /// What to do with an opening packet that waited for capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
     /// Deliver it to the target with this echo label.
-    Deliver(WaitedOpening, u32),
+    Deliver(PendingOpening, u32),
     /// Return it to its balancer.
-    Return(WaitedOpening, ReturnReason),
+    Return(PendingOpening, ReturnReason),
 }
 
 /// What to do with a client's packet for the target.
@@ -32,7 +32,7 @@
     /// Queue it at the agent until the target has capacity.
     Wait {
         /// The waiting packet that was evicted to make space, to be returned to its balancer.
-        displaced: Option<Box<WaitedOpening>>,
+        displaced: Option<Box<PendingOpening>>,
     },
     /// Do nothing: a copy of it is already queued.
     AlreadyWaiting,
--- a/crates/steering/src/agent/demand.rs
+++ b/crates/steering/src/agent/demand.rs
@@ -5,7 +5,7 @@
 
 use weirhinge_fleet::{Millis, OpeningDemand, WaitingOpenings};
 
-use crate::class_share::{OTHERS_ONE_IN, others_are_due};
+use crate::class_share::{NON_URGENT_ONE_IN, is_non_urgent_due};
 
 /// Most balancers whose demand is stored; exceeds the number in a large fleet.
 const CAPACITY: usize = 512;
@@ -165,7 +165,7 @@
         capacity: AvailableCapacity,
         now: Millis,
     ) -> Option<(Ipv4Addr, Class)> {
-        let non_urgent_due = others_are_due(self.consecutive_urgent);
+        let non_urgent_due = is_non_urgent_due(self.consecutive_urgent);
         let non_urgent = || self.longest_waiting(Class::NonUrgent, now);
         if non_urgent_due
             && capacity.urgent
@@ -213,7 +213,7 @@
     /// non-urgent share due.
     pub(super) fn keep_non_urgent_due(&mut self) {
         if self.has_ungranted(Class::NonUrgent) {
-            self.consecutive_urgent = OTHERS_ONE_IN - 1;
+            self.consecutive_urgent = NON_URGENT_ONE_IN - 1;
         }
     }
 
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -77,7 +77,7 @@
         self.grants.expire(now);
         let Some(remaining) = arrival.granted else { return GrantUse::None };
         // A duplicated message must not use up the grant for the balancer's next opening.
-        let key = arrival.head.client_flow();
+        let key = arrival.header.client_flow();
         let known_balancer = self.flows.get(&key).map(|flow| flow.balancer);
         if known_balancer == Some(arrival.balancer) && self.is_duplicate_opening(&key, now) {
             return GrantUse::None;
@@ -138,7 +138,7 @@
 
     fn has_capacity_for_local(&self) -> bool {
         self.openings
-            .first_is_urgent()
+            .next_is_urgent()
             .is_some_and(|urgent| self.available_capacity().allows(urgent))
     }
 
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -34,8 +34,8 @@
 pub use grants::Grant;
 
 use crate::arrival::Arrival;
-use crate::packet::{AnswerStatus, FlowKey, OPENING_SPAN_MS, PacketHead};
-use crate::waiting_room::WaitingRoom;
+use crate::packet::{AnswerStatus, FlowKey, OPENING_SPAN_MS, PacketHeader};
+use crate::pending_openings::PendingOpenings;
 use admission::AdmissionLimit;
 use breaker::CircuitBreaker;
 use cold_start::ColdStart;
@@ -70,7 +70,7 @@
     /// These flows in the order of admission, each with the time until which it counts.
     expected_until: VecDeque<(Millis, FlowKey)>,
     round_trip: RoundTrip,
-    openings: WaitingRoom,
+    openings: PendingOpenings,
     grants: Grants,
     /// Searches that the target has not answered yet, in the order of delivery.
     searches: VecDeque<(Millis, FlowKey)>,
@@ -100,7 +100,7 @@
             expected: 0,
             expected_until: VecDeque::new(),
             round_trip: RoundTrip::default(),
-            openings: WaitingRoom::default(),
+            openings: PendingOpenings::default(),
             grants: Grants::default(),
             searches: VecDeque::new(),
             last_output_at: None,
@@ -186,7 +186,7 @@
 
     /// Decides what to do with a client's packet that a balancer forwarded.
     pub fn delivery(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
-        if arrival.head.is_opening() {
+        if arrival.header.is_opening() {
             if arrival.service != self.service {
                 return DeliveryDecision::Return(ReturnReason::OtherService);
             }
@@ -194,10 +194,10 @@
             if self.leaving {
                 return DeliveryDecision::Return(ReturnReason::Leaving);
             }
-            if self.evacuated && !self.is_duplicate_opening(&arrival.head.client_flow(), now) {
+            if self.evacuated && !self.is_duplicate_opening(&arrival.header.client_flow(), now) {
                 return DeliveryDecision::Return(ReturnReason::Evacuated);
             }
-            let is_new = !self.flows.contains_key(&arrival.head.client_flow());
+            let is_new = !self.flows.contains_key(&arrival.header.client_flow());
             if is_new && self.breaker_rejects(arrival, grant, now) {
                 return DeliveryDecision::Return(ReturnReason::Failing);
             }
@@ -206,12 +206,12 @@
             }
             // This may be a copy that is admitted while the original packet still waits. Returning
             // the original later would make its balancer reset the open flow.
-            self.openings.remove(&arrival.head.client_flow());
+            self.openings.remove(&arrival.header.client_flow());
         }
         let notice = self.search_notice(arrival);
         // A balancer that gets a notice now needs none when the target answers.
         let searched = arrival.search.is_some() && notice.is_none();
-        self.track(arrival.head, arrival.packet, arrival.balancer, searched, now);
+        self.track(arrival.header, arrival.packet, arrival.balancer, searched, now);
         let echo = self.deliveries.record(arrival);
         DeliveryDecision::Deliver { echo, notice }
     }
@@ -221,20 +221,20 @@
         self.expire_expected(now);
         self.grants.expire(now);
         if let Some(reason) = self.rejection_reason()
-            && let Some(opening) = self.openings.take_any()
+            && let Some(opening) = self.openings.take_newest()
         {
             return Some(WaitOutcome::Return(opening, reason));
         }
-        if let Some(opening) = self.openings.take_over(now) {
+        if let Some(opening) = self.openings.take_expired(now) {
             return Some(WaitOutcome::Return(opening, ReturnReason::Busy));
         }
         if !self.cold_start_allows(now) || self.yields_to_grant(now) {
             return None;
         }
         let capacity = self.available_capacity();
-        let opening = self.openings.take_first(|urgent| capacity.allows(urgent))?;
+        let opening = self.openings.take_next(|urgent| capacity.allows(urgent))?;
         self.grants.local_turn = false;
-        self.track(&opening.head, &opening.packet, opening.balancer, false, now);
+        self.track(&opening.header, &opening.packet, opening.balancer, false, now);
         let echo = self.deliveries.record_waited(opening.balancer);
         Some(WaitOutcome::Deliver(opening, echo))
     }
@@ -265,7 +265,7 @@
     }
 
     fn queue_or_return(&mut self, arrival: &Arrival<'_>, now: Millis) -> DeliveryDecision {
-        if self.openings.has(&arrival.head.client_flow()) {
+        if self.openings.contains(&arrival.header.client_flow()) {
             return DeliveryDecision::AlreadyWaiting;
         }
         if !arrival.may_wait || arrival.granted.is_some() {
@@ -301,39 +301,40 @@
     }
 
     /// Decides what to do with a packet that the target sent.
-    pub fn output(&mut self, head: &PacketHead, now: Millis) -> OutputDecision {
+    pub fn output(&mut self, header: &PacketHeader, now: Millis) -> OutputDecision {
         self.last_output_at = Some(now);
         self.service_time.advance(now);
-        if head.flags.bounced {
-            return self.handle_undelivered(&head.client_flow(), head.echo);
+        if header.flags.bounced {
+            return self.handle_undelivered(&header.client_flow(), header.echo);
         }
-        let flow = head.target_flow();
+        let flow = header.target_flow();
         let Some(entry) = self.flows.get_mut(&flow) else {
             return OutputDecision::ToClient { notice: None };
         };
         entry.used_at = now;
-        let ends_flow = head.flags.fin || head.flags.rst;
-        let answered = if head.length > 0 || ends_flow { entry.waiting_since.take() } else { None };
+        let ends_flow = header.flags.fin || header.flags.rst;
+        let answered =
+            if header.length > 0 || ends_flow { entry.waiting_since.take() } else { None };
         if let Some(since) = answered {
             self.admission.record_answer(now.saturating_sub(since), self.waiting);
-            if head.length > 0 {
+            if header.length > 0 {
                 self.service_time.record_answer(&flow);
             } else {
                 self.service_time.record_abandoned(&flow);
             }
             self.waiting -= 1;
-            if head.flags.rst {
+            if header.flags.rst {
                 self.breaker_change = self.breaker.record_failure(now).or(self.breaker_change);
             }
         }
-        let answers_opening = head.flags.syn && head.flags.ack;
+        let answers_opening = header.flags.syn && header.flags.ack;
         let notice = HoldsNotice { balancer: entry.balancer, flow, confirmed: !answers_opening };
         let needs_notice = answers_opening || entry.searched_since.is_some();
         if !answers_opening {
             entry.searched_since = None;
             entry.confirmed = true;
         }
-        if head.flags.rst {
+        if header.flags.rst {
             self.untrack(&flow);
         }
         OutputDecision::ToClient { notice: needs_notice.then_some(notice) }
--- a/crates/steering/src/agent/tracking.rs
+++ b/crates/steering/src/agent/tracking.rs
@@ -7,7 +7,7 @@
 use super::flow::Flow;
 use super::restart_checks::LatestPacket;
 use super::{Agent, FLOW_CAPACITY, SEARCH_CAPACITY};
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 impl Agent {
     /// Returns the target's load, as reported to balancers.
@@ -51,13 +51,13 @@
 
     pub(super) fn track(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         balancer: Ipv4Addr,
         searched: bool,
         now: Millis,
     ) {
-        let flow = head.client_flow();
+        let flow = header.client_flow();
         let is_new = !self.flows.contains_key(&flow);
         if is_new && self.flows.len() >= FLOW_CAPACITY {
             if !searched {
@@ -66,7 +66,7 @@
             return;
         }
         self.service_time.advance(now);
-        let is_expected = is_new && head.is_opening();
+        let is_expected = is_new && header.is_opening();
         if is_expected {
             self.cold_start.record_admission(now);
         }
@@ -84,14 +84,14 @@
         });
         entry.balancer = balancer;
         entry.used_at = now;
-        entry.update_latest(head, packet);
+        entry.update_latest(header, packet);
         if searched && entry.searched_since.is_none() {
             entry.searched_since = Some(now);
             if self.searches.len() < SEARCH_CAPACITY {
                 self.searches.push_back((now, flow));
             }
         }
-        if entry.record_data(head) && entry.waiting_since.is_none() {
+        if entry.record_data(header) && entry.waiting_since.is_none() {
             entry.waiting_since = Some(now);
             self.waiting += 1;
             self.service_time.record_delivery(flow);
@@ -101,11 +101,11 @@
             let until = now + self.round_trip.timeout();
             self.expected_until.push_back((until, flow));
         }
-        if head.length > 0 {
+        if header.length > 0 {
             self.record_first_request(&flow, now);
             self.clear_expected(&flow);
         }
-        if head.flags.rst {
+        if header.flags.rst {
             self.untrack(&flow);
         }
     }
--- a/crates/steering/src/balancer/client_shares.rs
+++ b/crates/steering/src/balancer/client_shares.rs
@@ -9,7 +9,7 @@
 
 use weirhinge_fleet::Millis;
 
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 
 /// How long an opening counts after its admission.
 const RECENT_MS: Millis = 1_000;
@@ -55,7 +55,7 @@
     /// Returns the client's rank for one more opening. The rank gets worse the further the client's
     /// number of openings exceeds the mean of the other clients. A client at the mean keeps its
     /// rank, because its last opening still counts when its next one arrives.
-    pub fn rank(&mut self, client: Ipv4Addr, rank: CallerRank, now: Millis) -> CallerRank {
+    pub fn rank(&mut self, client: Ipv4Addr, rank: ClientRank, now: Millis) -> ClientRank {
         self.expire(now);
         let own = self.openings.get(&client).copied().unwrap_or(0);
         let others = self.openings.len() - usize::from(own > 0);
@@ -63,7 +63,7 @@
             return rank;
         }
         let mean_of_others = (self.total - own).div_ceil(others as u32);
-        rank.with_shares(own / (mean_of_others + 1))
+        rank.with_shares_used(own / (mean_of_others + 1))
     }
 
     fn expire(&mut self, now: Millis) {
--- a/crates/steering/src/balancer/granting.rs
+++ b/crates/steering/src/balancer/granting.rs
@@ -8,8 +8,8 @@
 use super::opening_queue::QueuedOpening;
 use super::{Balancer, ClientPacket, Context};
 use crate::flow_table::FlowStage;
-use crate::packet::{FlowKey, PacketHead};
-use crate::view::{Candidate, RouteChoice, Standing};
+use crate::packet::{FlowKey, PacketHeader};
+use crate::view::{Availability, Candidate, CompiledRoute};
 
 /// An agent's grant of capacity for one opening packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolvedOpening {
     /// Header of the packet.
-    pub head: PacketHead,
+    pub header: PacketHeader,
     /// The whole packet.
     pub bytes: Vec<u8>,
     /// What to do with the packet.
@@ -40,7 +40,7 @@
 impl ResolvedOpening {
     fn new(opening: QueuedOpening, decision: Decision, now: Millis) -> Self {
         let waited_ms = now.saturating_sub(opening.queued_at);
-        Self { head: opening.head, bytes: opening.bytes, decision, waited_ms }
+        Self { header: opening.header, bytes: opening.bytes, decision, waited_ms }
     }
 }
 
@@ -67,7 +67,7 @@
 impl Balancer {
     /// Uses an agent's grant for the first opening in the queue that may have it.
     pub fn use_grant(&mut self, context: &Context<'_>, grant: &CapacityGrant) -> GrantOutcome {
-        self.statuses.granted(grant.agent, grant.load, context.now);
+        self.statuses.note_grant(grant.agent, grant.load, context.now);
         let answer = self.answer_grant(context, grant);
         let urgent_only = grant.urgent_only && answer.granted.is_none();
         let next = self.late_binding.flows_in_service_order(grant.service, urgent_only).next();
@@ -98,7 +98,7 @@
         let first = self.late_binding.first_flow(grant.service)?;
         let is_granting = |candidate: &&Candidate| candidate.agent == grant.agent;
         let known = context.view.candidates(grant.service).iter().find(is_granting);
-        if let Some(known) = known.filter(|known| known.standing == Standing::Ready) {
+        if let Some(known) = known.filter(|known| known.availability == Availability::Ready) {
             let accepts_flows = !known.evacuated && !self.is_unhealthy(known, context.now);
             return accepts_flows.then_some(*known);
         }
@@ -141,7 +141,7 @@
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.tried.clear();
         }
-        let packet = ClientPacket { head: &opening.head, bytes: &opening.bytes };
+        let packet = ClientPacket { header: &opening.header, bytes: &opening.bytes };
         let decision = self.choose_target(context, packet, ForwardReason::Opened);
         self.keep_undecided(&decision, packet, now);
         Some(ResolvedOpening::new(opening, decision, now))
@@ -156,7 +156,7 @@
     ) -> Option<ResolvedOpening> {
         let (now, service, agent) = (context.now, grant.service, grant.agent);
         let opening = self.late_binding.admit(flow, now)?;
-        self.statuses.sent_opening(agent, now);
+        self.statuses.note_opening_sent(agent, now);
         let was_evicted = self.flows.get_mut(flow).is_none();
         self.assign_agent(*flow, agent, FlowStage::Opening, now);
         if let Some(entry) = self.flows.get_mut(flow) {
@@ -169,7 +169,7 @@
                 entry.queued_at = Some(opening.queued_at);
             }
         }
-        let urgent = context.view.route(flow.service).is_some_and(RouteChoice::is_urgent);
+        let urgent = context.view.route(flow.service).is_some_and(CompiledRoute::is_urgent);
         let mut forward = Forward::to(agent, service, ForwardReason::OpeningGranted);
         forward.urgent = urgent;
         forward.granted = Some(self.late_binding.demand(service, now));
@@ -185,7 +185,7 @@
             let expected_wait_ms = self.late_binding.expected_wait(class, ahead, now);
             let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms: 0 };
             let reason = ResetReason::Overloaded { inputs };
-            let decision = self.refuse(&opening.head.client_flow(), reason);
+            let decision = self.refuse(&opening.header.client_flow(), reason);
             refused.push(ResolvedOpening::new(opening, decision, now));
         }
         refused
--- a/crates/steering/src/balancer/late_binding.rs
+++ b/crates/steering/src/balancer/late_binding.rs
@@ -9,8 +9,8 @@
 use super::client_shares::ClientShares;
 use super::opening_queue::{OpeningQueue, QueueClass, QueueEnd, QueuedOpening};
 use super::queue_delay::AdmissionRate;
-use crate::caller_rank::{CallerRank, caller_rank};
-use crate::class_share::others_are_due;
+use crate::class_share::is_non_urgent_due;
+use crate::client_rank::{ClientRank, client_rank};
 use crate::packet::FlowKey;
 use crate::view::Candidate;
 
@@ -74,7 +74,7 @@
         queue_end: QueueEnd,
         now: Millis,
     ) -> bool {
-        let (class, client_address) = (opening.class, *opening.head.source.ip());
+        let (class, client_address) = (opening.class, *opening.header.source.ip());
         if !self.queue.push(opening, queue_end) {
             return false;
         }
@@ -106,7 +106,7 @@
     /// Removes an opening whose budget has expired.
     pub(super) fn take_overdue(&mut self, now: Millis) -> Option<QueuedOpening> {
         let opening = self.queue.take_overdue(now)?;
-        self.shares.note_given_up(*opening.head.source.ip());
+        self.shares.note_given_up(*opening.header.source.ip());
         self.note_departure(opening.class, now);
         Some(opening)
     }
@@ -165,8 +165,8 @@
         client_address: Ipv4Addr,
         unix_ms: u64,
         now: Millis,
-    ) -> CallerRank {
-        self.shares.rank(client_address, caller_rank(client_address, unix_ms), now)
+    ) -> ClientRank {
+        self.shares.rank(client_address, client_rank(client_address, unix_ms), now)
     }
 
     /// Returns the flows queued for a service, in the order in which they are served.
@@ -177,7 +177,7 @@
     ) -> impl Iterator<Item = FlowKey> {
         let in_row = self.services.get(&service).map_or(0, |state| state.urgent_in_row);
         let mut classes = QueueClass::of(service);
-        if !urgent_only && others_are_due(in_row) {
+        if !urgent_only && is_non_urgent_due(in_row) {
             classes.reverse();
         }
         let class_count = if urgent_only { 1 } else { classes.len() };
--- a/crates/steering/src/balancer/opening_queue.rs
+++ b/crates/steering/src/balancer/opening_queue.rs
@@ -5,7 +5,7 @@
 
 use weirhinge_fleet::{Millis, OpeningDemand, ServiceId, WaitingOpenings};
 
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 /// Maximum number of queued openings of all services: what a balancer forwards within the longest
 /// budget at 3,000 openings per second.
@@ -38,7 +38,7 @@
 /// A queued opening packet.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedOpening {
-    pub(super) head: PacketHead,
+    pub(super) header: PacketHeader,
     pub(super) bytes: Vec<u8>,
     pub(super) class: QueueClass,
     /// When the opening was queued first.
@@ -76,7 +76,7 @@
 
     /// Adds an opening. Returns `false` if the queue is full or the flow is already queued.
     pub(super) fn push(&mut self, opening: QueuedOpening, queue_end: QueueEnd) -> bool {
-        let flow = opening.head.client_flow();
+        let flow = opening.header.client_flow();
         if self.entries.len() >= self.capacity || self.contains(&flow) {
             return false;
         }
--- a/crates/steering/src/balancer/queue_delay.rs
+++ b/crates/steering/src/balancer/queue_delay.rs
@@ -7,7 +7,7 @@
 
 use weirhinge_fleet::Millis;
 
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 
 /// Length of a bucket in which admissions are counted.
 const BUCKET_MS: Millis = 25;
@@ -175,7 +175,7 @@
     expected_wait: Option<Millis>,
     ahead: usize,
     budget_ms: Millis,
-    rank: CallerRank,
+    rank: ClientRank,
 ) -> bool {
     if budget_ms == 0 {
         return false;
@@ -188,7 +188,7 @@
 
 /// Returns `limit * (1 - 0.75 * rank)`, where the rank of a client within its share is between 0
 /// and 1.
-fn scale_by_rank(limit: u64, rank: CallerRank) -> u64 {
+fn scale_by_rank(limit: u64, rank: ClientRank) -> u64 {
     const RANK_RANGE: u64 = 1 << 16;
     let share = (4 * RANK_RANGE).saturating_sub(3 * u64::from(rank.value()));
     limit.saturating_mul(share) / (4 * RANK_RANGE)
--- a/crates/steering/src/balancer/queueing.rs
+++ b/crates/steering/src/balancer/queueing.rs
@@ -14,11 +14,11 @@
 use super::opening_queue::{QueueClass, QueueEnd, QueuedOpening};
 use super::queue_delay::may_wait;
 use super::{Balancer, ClientPacket, Context};
-use crate::caller_rank::CallerRank;
+use crate::client_rank::ClientRank;
 use crate::flow_table::FlowStage;
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 use crate::selection::TargetCosts;
-use crate::view::{Candidate, Distance, RouteChoice};
+use crate::view::{Candidate, CompiledRoute, Distance};
 
 /// Time of a request that is spent neither in the queue nor at the target: a handshake and the
 /// transit of the request and its answer, between zones.
@@ -35,7 +35,7 @@
 
 /// Where an opening is to be queued.
 pub(super) struct QueuePlace<'a> {
-    pub(super) route: &'a RouteChoice,
+    pub(super) route: &'a CompiledRoute,
     pub(super) service: ServiceId,
     pub(super) queue_end: QueueEnd,
     /// The healthy targets that may take it.
@@ -51,7 +51,7 @@
 }
 
 impl Deadlines {
-    fn new(route: &RouteChoice, first_at: Millis, service_ms: Millis) -> Self {
+    fn new(route: &CompiledRoute, first_at: Millis, service_ms: Millis) -> Self {
         let needed_ms = service_ms + TRANSIT_MS;
         let latest_for = |limit: Millis| first_at + limit.saturating_sub(needed_ms);
         let attempt_deadline = first_at + ATTEMPT_TIMEOUT_MS - TRANSIT_MS;
@@ -72,7 +72,7 @@
 
 impl Balancer {
     /// Whether an opening that arrives now has to queue behind others of its class.
-    pub(super) fn must_queue(&self, route: &RouteChoice, service: ServiceId) -> bool {
+    pub(super) fn must_queue(&self, route: &CompiledRoute, service: ServiceId) -> bool {
         let class = QueueClass { service, urgent: route.is_urgent() };
         route.objective_ms().is_some() && self.late_binding.waiting(class) > 0
     }
@@ -84,8 +84,8 @@
         packet: ClientPacket<'_>,
         place: &QueuePlace<'_>,
     ) -> Decision {
-        let (now, flow) = (context.now, packet.head.client_flow());
-        let (first_at, queued_at) = self.note_queued(packet.head, now);
+        let (now, flow) = (context.now, packet.header.client_flow());
+        let (first_at, queued_at) = self.note_queued(packet.header, now);
         let service = place.service;
         let class = QueueClass { service, urgent: place.route.is_urgent() };
         let waiting = self.late_binding.waiting(class);
@@ -98,7 +98,7 @@
         let inputs = QueueInputs { ahead, expected_wait_ms, budget_ms };
         let rank = match self.late_binding.note_arrival(class, now) {
             // No refusals are needed for the others to be in time.
-            Trend::Draining => CallerRank::SERVED_FIRST,
+            Trend::Draining => ClientRank::SERVED_FIRST,
             Trend::Growing => self.late_binding.rank(*flow.client.ip(), context.unix_ms, now),
         };
         let may_wait = match place.queue_end {
@@ -107,8 +107,8 @@
         };
         // Most openings are refused in an overload, so the packet is copied only if it may wait.
         let opening = || {
-            let (head, bytes) = (*packet.head, packet.bytes.to_vec());
-            QueuedOpening { head, bytes, class, queued_at, deadline }
+            let (header, bytes) = (*packet.header, packet.bytes.to_vec());
+            QueuedOpening { header, bytes, class, queued_at, deadline }
         };
         if !may_wait || !self.late_binding.push(opening(), place.queue_end, now) {
             return self.refuse(&flow, ResetReason::Overloaded { inputs });
@@ -120,12 +120,12 @@
 
     /// Records in a flow's entry that its opening is queued. Returns when the flow began and when
     /// its opening was queued first.
-    fn note_queued(&mut self, head: &PacketHead, now: Millis) -> (Millis, Millis) {
-        let flow = head.client_flow();
+    fn note_queued(&mut self, header: &PacketHeader, now: Millis) -> (Millis, Millis) {
+        let flow = header.client_flow();
         if self.flows.get_mut(&flow).is_none() {
             let no_agent = Ipv4Addr::UNSPECIFIED;
             self.assign_agent(flow, no_agent, FlowStage::Queued, now);
-            self.note_first_packet(head, now);
+            self.note_first_packet(header, now);
         }
         let Some(entry) = self.flows.get_mut(&flow) else { return (now, now) };
         entry.stage = FlowStage::Queued;
@@ -137,9 +137,9 @@
 
     /// Records in a new flow's entry when its first packet was sent. Another balancer may have
     /// received that packet and sent it to a target.
-    pub(super) fn note_first_packet(&mut self, head: &PacketHead, now: Millis) {
-        let Some(entry) = self.flows.get_mut(&head.client_flow()) else { return };
-        let retransmissions = usize::try_from(head.acknowledgment).unwrap_or(usize::MAX);
+    pub(super) fn note_first_packet(&mut self, header: &PacketHeader, now: Millis) {
+        let Some(entry) = self.flows.get_mut(&header.client_flow()) else { return };
+        let retransmissions = usize::try_from(header.acknowledgment).unwrap_or(usize::MAX);
         let age_ms = TRANSMISSIONS_AFTER_MS[retransmissions.min(TRANSMISSIONS_AFTER_MS.len() - 1)];
         entry.first_at = now.saturating_sub(age_ms);
         entry.may_be_open = retransmissions > 0;
@@ -177,8 +177,8 @@
         from: Ipv4Addr,
         returned: ReturnReason,
     ) -> Option<Decision> {
-        let flow = packet.head.client_flow();
-        let route = context.view.route(packet.head.destination)?;
+        let flow = packet.header.client_flow();
+        let route = context.view.route(packet.header.destination)?;
         route.objective_ms()?;
         let service = route.pick(flow.hash())?;
         let entry = self.flows.get_mut(&flow).filter(|entry| !entry.has_waited)?;
--- a/crates/steering/src/balancer/search.rs
+++ b/crates/steering/src/balancer/search.rs
@@ -8,7 +8,7 @@
 use super::search_order::SearchTarget;
 use super::{Balancer, ClientPacket, Context, service_of_agent};
 use crate::flow_table::{FlowEntry, FlowStage};
-use crate::packet::{FlowKey, PacketHead};
+use crate::packet::{FlowKey, PacketHeader};
 
 /// After this long without an answer, a search continues with the next targets.
 const SEARCH_STEP_TIMEOUT_MS: Millis = 120;
@@ -37,37 +37,38 @@
 
 impl Balancer {
     /// Sends a packet of an unknown flow to the next targets that may hold it.
-    pub(super) fn search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
-        let flow = head.client_flow();
-        let Some(route) = context.view.route(head.destination) else {
-            return Self::decide_without_route(context.view, head);
+    pub(super) fn search(&mut self, context: &Context<'_>, header: &PacketHeader) -> Decision {
+        let flow = header.client_flow();
+        let Some(route) = context.view.route(header.destination) else {
+            return Self::decide_without_route(context.view, header);
         };
-        let is_in_progress = self.flows.get_mut(&flow).is_some_and(|entry| !entry.asked.is_empty());
+        let is_in_progress =
+            self.flows.get_mut(&flow).is_some_and(|entry| !entry.search_paths.is_empty());
         if is_in_progress {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
         self.route_history.note(context.view);
         let untried = self.untried_search_targets(context, route, &flow);
         let Some(first) = untried.first() else {
-            return self.end_failed_search(context, &flow, head);
+            return self.end_failed_search(context, &flow, header);
         };
-        let at_once = self.search_outcomes.are_mostly_in_vain(context.now);
+        let at_once = self.search_outcomes.are_mostly_unsuccessful(context.now);
         let paths = match self.flows.get_mut(&flow) {
             Some(entry) => next_paths(&untried, entry, at_once),
             None => next_paths(
                 &untried,
-                &FlowEntry::new(first.agent, FlowStage::Unheld, context.now),
+                &FlowEntry::new(first.agent, FlowStage::NotFound, context.now),
                 at_once,
             ),
         };
-        if let Err(wait_ms) = self.search_budget.take(paths.len(), head.length, context.now) {
-            self.assign_agent(flow, first.agent, FlowStage::Unheld, context.now);
+        if let Err(wait_ms) = self.search_budget.take(paths.len(), header.length, context.now) {
+            self.assign_agent(flow, first.agent, FlowStage::NotFound, context.now);
             return Decision::Drop(DropReason::SearchWaits { wait_ms });
         }
         self.assign_agent(flow, first.agent, FlowStage::Searching, context.now);
         let decision = Decision::search(&paths, first.service);
         if let Some(entry) = self.flows.get_mut(&flow) {
-            entry.asked = paths;
+            entry.search_paths = paths;
             entry.waves += 1;
         }
         decision
@@ -76,16 +77,17 @@
     /// Sends a further packet of a flow along the path of the search in progress, if there is only
     /// one path. With more paths the packet is dropped, and the client retransmits it after the
     /// target is found.
-    pub(super) fn join_search(&mut self, context: &Context<'_>, head: &PacketHead) -> Decision {
-        let flow = &head.client_flow();
-        let Some(entry) = self.flows.get_mut(flow).filter(|entry| entry.asked.len() == 1) else {
+    pub(super) fn join_search(&mut self, context: &Context<'_>, header: &PacketHeader) -> Decision {
+        let flow = &header.client_flow();
+        let Some(entry) = self.flows.get_mut(flow).filter(|entry| entry.search_paths.len() == 1)
+        else {
             return Decision::Drop(DropReason::SearchGoesOn);
         };
-        if self.search_budget.take(entry.asked.len(), head.length, context.now).is_err() {
+        if self.search_budget.take(entry.search_paths.len(), header.length, context.now).is_err() {
             return Decision::Drop(DropReason::SearchGoesOn);
         }
         let service = service_of_agent(context.view, flow, entry.agent);
-        Decision::search(&entry.asked, service)
+        Decision::search(&entry.search_paths, service)
     }
 
     /// Continues a search past targets that did not answer. Any agent of an unanswered path may be
@@ -93,15 +95,16 @@
     pub(super) fn search_past_unanswered(
         &mut self,
         context: &Context<'_>,
-        head: &PacketHead,
+        header: &PacketHeader,
     ) -> Decision {
-        let flow = head.client_flow();
-        let asked = self.flows.get_mut(&flow).map(|entry| std::mem::take(&mut entry.asked));
+        let flow = header.client_flow();
+        let search_paths =
+            self.flows.get_mut(&flow).map(|entry| std::mem::take(&mut entry.search_paths));
         let (paths, single): (Vec<_>, Vec<_>) =
-            asked.unwrap_or_default().into_iter().partition(|path| path.len() > 1);
+            search_paths.unwrap_or_default().into_iter().partition(|path| path.len() > 1);
         let unresponsive: Vec<Ipv4Addr> = single.into_iter().flatten().collect();
         for agent in &unresponsive {
-            self.statuses.ignored_search(*agent, context.now);
+            self.statuses.note_unanswered_search(*agent, context.now);
         }
         let route = context.view.route(flow.service);
         let may_hold = |agent: &&Ipv4Addr| {
@@ -111,9 +114,9 @@
         if let Some(entry) = self.flows.get_mut(&flow) {
             entry.tried.extend(unresponsive);
             entry.unanswered.extend(unanswered);
-            entry.doubtful = paths.into_iter().flatten().collect();
+            entry.possibly_unresponsive = paths.into_iter().flatten().collect();
         }
-        self.search(context, head)
+        self.search(context, header)
     }
 
     /// Keeps a copy of a packet that searches for its target, or drops the copy if the search has
@@ -124,7 +127,7 @@
         packet: ClientPacket<'_>,
         context: &Context<'_>,
     ) {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         if *decision == Decision::Drop(DropReason::SearchGoesOn) {
             // The agents asked last still have time to answer.
             return;
@@ -140,7 +143,7 @@
                 Decision::Drop(DropReason::SearchWaits { wait_ms }) => *wait_ms,
                 _ => self.search_pause_ms(context, &flow),
             };
-            self.searches.keep(flow, packet.head, packet.bytes, wait_ms, context.now);
+            self.searches.keep(flow, packet.header, packet.bytes, wait_ms, context.now);
         } else {
             self.searches.remove(&flow);
         }
@@ -151,8 +154,9 @@
     fn search_pause_ms(&mut self, context: &Context<'_>, flow: &FlowKey) -> Millis {
         let knows_all = self.knows_all_targets(context);
         let entry = self.flows.get_mut(flow).filter(|_| knows_all);
-        let is_unheld = entry
-            .is_some_and(|entry| entry.stage == FlowStage::Unheld && entry.unheld_since.is_some());
+        let is_unheld = entry.is_some_and(|entry| {
+            entry.stage == FlowStage::NotFound && entry.not_found_since.is_some()
+        });
         if is_unheld { GIVE_UP_AFTER_MS } else { SEARCH_STEP_TIMEOUT_MS }
     }
 
@@ -162,19 +166,19 @@
     }
 
     /// Returns the packets whose search got no answer in time, for [`Self::continue_search`].
-    pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_searches(&mut self, now: Millis) -> Vec<(PacketHeader, Vec<u8>)> {
         self.searches.take_due(now, SEARCH_STEP_TIMEOUT_MS)
     }
 
     /// Continues the search of a packet from [`Self::due_searches`].
     pub fn continue_search(&mut self, context: &Context<'_>, packet: ClientPacket<'_>) -> Decision {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         let stage = self.flows.get_mut(&flow).map(|entry| entry.stage);
-        if !matches!(stage, Some(FlowStage::Searching | FlowStage::Unheld)) {
+        if !matches!(stage, Some(FlowStage::Searching | FlowStage::NotFound)) {
             self.searches.remove(&flow);
             return Decision::Drop(DropReason::SearchEnded);
         }
-        let decision = self.decide_later_packet(context, packet.head);
+        let decision = self.decide_later_packet(context, packet.header);
         self.keep_for_search(&decision, packet, context);
         decision
     }
@@ -184,31 +188,31 @@
         &mut self,
         context: &Context<'_>,
         flow: &FlowKey,
-        head: &PacketHead,
+        header: &PacketHeader,
     ) -> Decision {
         let now = context.now;
         let knows_all = self.knows_all_targets(context);
         let Some(entry) = self.flows.get_mut(flow) else {
             return Decision::Drop(DropReason::NobodyHoldsYet);
         };
-        entry.end_round();
-        entry.stage = FlowStage::Unheld;
+        entry.reset_search();
+        entry.stage = FlowStage::NotFound;
         // A target that did not answer may hold the flow and is asked again. One that returned its
         // packet does not hold the flow and never will.
         if !entry.unanswered.is_empty() {
             for agent in std::mem::take(&mut entry.unanswered) {
                 entry.tried.remove(&agent);
             }
-            entry.unheld_since = None;
+            entry.not_found_since = None;
             return Decision::Drop(DropReason::NobodyHoldsYet);
         }
-        if entry.unheld_since.is_none() {
+        if entry.not_found_since.is_none() {
             self.search_outcomes.note(true, now);
         }
-        let first = *entry.unheld_since.get_or_insert(now);
-        if knows_all && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !head.flags.rst {
+        let first = *entry.not_found_since.get_or_insert(now);
+        if knows_all && now.saturating_sub(first) >= GIVE_UP_AFTER_MS && !header.flags.rst {
             self.flows.remove(flow);
-            let sequence = head.acknowledgment;
+            let sequence = header.acknowledgment;
             return Decision::Reset { sequence, reason: ResetReason::NobodyHolds };
         }
         Decision::Drop(DropReason::NobodyHoldsYet)
@@ -220,15 +224,17 @@
 /// all of these are used up, the unresponsive ones follow, each on a path of its own.
 fn next_paths(untried: &[SearchTarget], entry: &FlowEntry, at_once: bool) -> Vec<Vec<Ipv4Addr>> {
     let answering = untried.iter().take_while(|target| !target.is_unresponsive);
-    let (doubtful, not_asked): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) =
-        answering.map(|target| target.agent).partition(|agent| entry.doubtful.contains(agent));
-    if doubtful.is_empty() && not_asked.is_empty() {
+    let (possibly_unresponsive, not_asked): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = answering
+        .map(|target| target.agent)
+        .partition(|agent| entry.possibly_unresponsive.contains(agent));
+    if possibly_unresponsive.is_empty() && not_asked.is_empty() {
         return untried.iter().take(MAX_PATHS).map(|target| vec![target.agent]).collect();
     }
-    let retry_path_length = doubtful.len().div_ceil(RETRY_PATHS).clamp(1, MAX_PATH_LENGTH);
+    let retry_path_length =
+        possibly_unresponsive.len().div_ceil(RETRY_PATHS).clamp(1, MAX_PATH_LENGTH);
     let path_limit = PATH_GROWTH_FACTOR.saturating_pow(entry.waves).min(MAX_PATHS);
     let max_not_asked = if at_once { MAX_PATHS } else { path_limit };
-    let paths = doubtful
+    let paths = possibly_unresponsive
         .chunks(retry_path_length)
         .chain(not_asked.chunks(MAX_PATH_LENGTH).take(max_not_asked));
     paths.take(MAX_PATHS).map(<[Ipv4Addr]>::to_vec).collect()
--- a/crates/steering/src/balancer/search_order.rs
+++ b/crates/steering/src/balancer/search_order.rs
@@ -12,8 +12,8 @@
 
 use super::{Balancer, Context};
 use crate::packet::FlowKey;
-use crate::selection::{rank, rendezvous_order};
-use crate::view::{Candidate, Distance, RouteChoice, Standing};
+use crate::selection::{rendezvous_order, rendezvous_weight};
+use crate::view::{Availability, Candidate, CompiledRoute, Distance};
 
 /// A target that left the store and whose agent has been silent for this long no longer prevents a
 /// flow from being given up.
@@ -36,7 +36,7 @@
     pub(super) fn untried_search_targets(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow: &FlowKey,
     ) -> Vec<SearchTarget> {
         let tried = self.flows.tried(flow);
@@ -58,7 +58,7 @@
     fn route_search_targets(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow_hash: u64,
     ) -> Vec<SearchTarget> {
         let mut targets: Vec<SearchTarget> = Vec::new();
@@ -73,7 +73,7 @@
                 }
                 targets.push(self.search_target(service, &candidate, context.now));
             }
-            for agent in self.statuses.claimants(service, context.now) {
+            for agent in self.statuses.agents_with_target(service, context.now) {
                 if self.should_ask_unrecorded(context, route, agent) && listed.insert(agent) {
                     targets.push(reported_search_target(service, agent));
                 }
@@ -87,7 +87,7 @@
     fn other_search_targets(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         flow_hash: u64,
     ) -> Vec<SearchTarget> {
         let named: HashSet<ServiceId> = route.services().collect();
@@ -104,14 +104,14 @@
         let mut targets: Vec<SearchTarget> = recorded
             .map(|(service, candidate)| self.search_target(service, candidate, context.now))
             .collect();
-        let claimants = self.statuses.claimants_outside(&named, context.now);
-        let unrecorded = claimants.into_iter().filter(|(service, agent)| {
+        let agents_with_target = self.statuses.agents_with_target_outside(&named, context.now);
+        let unrecorded = agents_with_target.into_iter().filter(|(service, agent)| {
             may_hold(*service, *agent)
-                && context.view.target_beside(*agent).is_none()
+                && context.view.target_of_agent(*agent).is_none()
                 && self.should_ask_unrecorded(context, route, *agent)
         });
         targets.extend(unrecorded.map(|(service, agent)| reported_search_target(service, agent)));
-        targets.sort_by_key(|target| Reverse(rank(flow_hash, target.agent)));
+        targets.sort_by_key(|target| Reverse(rendezvous_weight(flow_hash, target.agent)));
         targets
     }
 
@@ -119,14 +119,14 @@
     fn should_ask_unrecorded(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         agent: Ipv4Addr,
     ) -> bool {
         let knows_all = self.knows_all_targets(context);
-        let is_mute = knows_all && self.statuses.is_mute(agent, context.now);
-        let zone = self.statuses.claimed_zone(agent);
+        let is_unresponsive = knows_all && self.statuses.is_unresponsive(agent, context.now);
+        let zone = self.statuses.reported_zone(agent);
         let region = zone.and_then(|zone| context.view.region_of(zone));
-        !is_mute && route.allows(region)
+        !is_unresponsive && route.allows(region)
     }
 
     fn search_target(
@@ -138,7 +138,7 @@
         let agent = candidate.agent;
         let is_unresponsive = self.has_left(candidate, now)
             || self.statuses.is_suspect(candidate, now)
-            || self.statuses.is_mute(agent, now);
+            || self.statuses.is_unresponsive(agent, now);
         SearchTarget {
             service,
             agent,
@@ -151,7 +151,7 @@
     fn has_left(&self, candidate: &Candidate, now: Millis) -> bool {
         let age = self.statuses.age(candidate.agent, now);
         let is_silent = age.is_none_or(|age| age >= DEPARTED_SILENCE_MS);
-        candidate.standing != Standing::Ready && is_silent
+        candidate.availability != Availability::Ready && is_silent
     }
 
     /// Whether a target has ended: its agent reported it, or the target left the store and did not
@@ -160,26 +160,28 @@
     fn target_has_ended(&self, context: &Context<'_>, candidate: &Candidate) -> bool {
         let is_settled = context.fresh && !self.is_settling(context.now);
         let agent = candidate.agent;
-        let is_mute = self.statuses.is_persistently_mute(agent, context.now);
-        self.statuses.has_ended(candidate) || (!candidate.recorded && is_settled && is_mute)
+        let is_unresponsive = self.statuses.is_persistently_unresponsive(agent, context.now);
+        self.statuses.has_ended(candidate) || (!candidate.recorded && is_settled && is_unresponsive)
     }
 
     /// Whether no agent has ever been heard from at an address that also left a search unanswered.
     /// A store entry of another writer may name a machine that never belonged to the fleet.
     fn is_foreign_address(&self, agent: Ipv4Addr, now: Millis) -> bool {
         let had_time = now >= self.store_fresh_at + DEPARTED_SILENCE_MS;
-        had_time && self.statuses.age(agent, now).is_none() && self.statuses.is_mute(agent, now)
+        had_time
+            && self.statuses.age(agent, now).is_none()
+            && self.statuses.is_unresponsive(agent, now)
     }
 
     /// Whether an unresponsive target has most likely ended.
     pub(super) fn has_probably_ended(
         &self,
         context: &Context<'_>,
-        route: &RouteChoice,
+        route: &CompiledRoute,
         agent: Ipv4Addr,
     ) -> bool {
         let now = context.now;
-        let Some((service, candidate)) = context.view.target_beside(agent) else { return true };
+        let Some((service, candidate)) = context.view.target_of_agent(agent) else { return true };
         let is_named = route.services().any(|named| named == service);
         self.has_left(candidate, now)
             || self.target_has_ended(context, candidate)
--- a/crates/steering/src/balancer/undecided.rs
+++ b/crates/steering/src/balancer/undecided.rs
@@ -8,7 +8,7 @@
 
 use super::decision::{Decision, DropReason};
 use super::{Balancer, ClientPacket, Context};
-use crate::packet::PacketHead;
+use crate::packet::PacketHeader;
 use crate::pending_packets::PendingPackets;
 use crate::view::VersionLabel;
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns all packets if the known state has changed.
-    fn take_if_changed(&mut self, known: KnownState, now: Millis) -> Vec<(PacketHead, Vec<u8>)> {
+    fn take_if_changed(&mut self, known: KnownState, now: Millis) -> Vec<(PacketHeader, Vec<u8>)> {
         self.checked_at = now;
         if known == self.known {
             self.packets.expire(now);
@@ -69,9 +69,9 @@
         packet: ClientPacket<'_>,
         now: Millis,
     ) {
-        let flow = packet.head.client_flow();
+        let flow = packet.header.client_flow();
         if is_undecided(decision) {
-            self.undecided.packets.keep(flow, packet.head, packet.bytes, 0, now);
+            self.undecided.packets.keep(flow, packet.header, packet.bytes, 0, now);
         } else {
             self.undecided.packets.remove(&flow);
         }
@@ -79,13 +79,13 @@
 
     /// Returns the packets to decide about again with [`Self::retry_undecided`], newest first.
     /// Returns none unless the balancer has learned something that may change the outcome.
-    pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_undecided(&mut self, context: &Context<'_>) -> Vec<(PacketHeader, Vec<u8>)> {
         let known = KnownState {
             label: context.view.label(),
             targets: context.view.target_count(),
-            reported_targets: self.statuses.claims_seen(),
+            reported_targets: self.statuses.targets_reported(),
             helpers: context.helpers.len(),
-            evacuated: context.view.evacuated_count(),
+            evacuated: context.view.evacuated_zone_count(),
         };
         self.undecided.take_if_changed(known, context.now)
     }
--- a/crates/steering/tests/admission.rs
+++ b/crates/steering/tests/admission.rs
@@ -5,18 +5,18 @@
 use support::agent_fixture::{answer, arrival, deliver, fill, new_agent, request};
 use support::{SERVICE, agent as address, data, flow, opening};
 use weirhinge_fleet::{ReturnReason, ServiceId};
-use weirhinge_steering::{Agent, Arrival, DeliveryDecision, PacketHead, WaitOutcome};
+use weirhinge_steering::{Agent, Arrival, DeliveryDecision, PacketHeader, WaitOutcome};
 
 #[test]
 fn busy_target_returns_openings_that_may_not_wait() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(agent.delivery(&arrival(&head), 1), busy);
-    let may_wait = Arrival { may_wait: true, ..arrival(&head) };
+    assert_eq!(agent.delivery(&arrival(&header), 1), busy);
+    let may_wait = Arrival { may_wait: true, ..arrival(&header) };
     assert_eq!(agent.delivery(&may_wait, 1), DeliveryDecision::Wait { displaced: None });
-    assert_eq!(agent.delivery(&arrival(&head), 2), DeliveryDecision::AlreadyWaiting);
+    assert_eq!(agent.delivery(&arrival(&header), 2), DeliveryDecision::AlreadyWaiting);
     assert_eq!(agent.next_outcome(3), None);
     // Packets of open flows are never queued.
     deliver(&mut agent, &data(flow(51)), 3);
@@ -31,11 +31,11 @@
     for port in 0..4 {
         deliver(&mut agent, &request(port, 0), 0);
     }
-    let head = opening(flow(300));
+    let header = opening(flow(300));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(agent.delivery(&arrival(&head), 0), busy);
+    assert_eq!(agent.delivery(&arrival(&header), 0), busy);
     // Urgent flows have a higher limit, and packets of open flows are never queued.
-    let urgent = Arrival { urgent: true, ..arrival(&head) };
+    let urgent = Arrival { urgent: true, ..arrival(&header) };
     assert!(matches!(agent.delivery(&urgent, 0), DeliveryDecision::Deliver { .. }));
     for port in 4..200 {
         deliver(&mut agent, &request(port, 0), 0);
@@ -58,8 +58,8 @@
     }
     let mut capacity = 0;
     for port in 1_000..1_100 {
-        let head = opening(flow(port));
-        let decision = agent.delivery(&arrival(&head), now);
+        let header = opening(flow(port));
+        let decision = agent.delivery(&arrival(&header), now);
         capacity += u32::from(matches!(decision, DeliveryDecision::Deliver { .. }));
     }
     capacity
@@ -95,29 +95,29 @@
     let mut agent = new_agent();
     fill(&mut agent);
     for port in [50, 51] {
-        let head = opening(flow(port));
-        agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, u64::from(port));
+        let header = opening(flow(port));
+        agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, u64::from(port));
     }
     agent.output(&answer(flow(0)), 60);
     let Some(WaitOutcome::Deliver(first, _)) = agent.next_outcome(60) else {
         panic!("expected a delivery");
     };
-    assert_eq!(first.head.client_flow(), flow(51));
+    assert_eq!(first.header.client_flow(), flow(51));
     // The admitted flow's first request is expected and takes the capacity.
     assert_eq!(agent.next_outcome(61), None);
     // It never arrives, so the capacity is free again.
     let Some(WaitOutcome::Deliver(second, _)) = agent.next_outcome(130) else {
         panic!("expected a delivery");
     };
-    assert_eq!(second.head.client_flow(), flow(50));
+    assert_eq!(second.header.client_flow(), flow(50));
 }
 
 #[test]
 fn opening_is_returned_after_longest_wait() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(50));
-    agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+    let header = opening(flow(50));
+    agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     assert_eq!(agent.next_outcome(1_000), None);
     let Some(WaitOutcome::Return(opening, ReturnReason::Busy)) = agent.next_outcome(1_100) else {
         panic!("expected a return");
@@ -131,19 +131,19 @@
     fill(&mut agent);
     let first = opening(flow(50));
     agent.delivery(&Arrival { may_wait: true, ..arrival(&first) }, 0);
-    let copy = PacketHead { acknowledgment: 1, ..opening(flow(51)) };
+    let copy = PacketHeader { acknowledgment: 1, ..opening(flow(51)) };
     agent.delivery(&Arrival { may_wait: true, ..arrival(&copy) }, 500);
     // The first packet has reached its longest wait, although the copy is at the end from which
     // packets are taken.
     let Some(WaitOutcome::Return(returned, ReturnReason::Busy)) = agent.next_outcome(1_100) else {
         panic!("expected a return");
     };
-    assert_eq!(returned.head.client_flow(), flow(50));
+    assert_eq!(returned.header.client_flow(), flow(50));
     agent.output(&answer(flow(0)), 1_200);
     let Some(WaitOutcome::Deliver(delivered, _)) = agent.next_outcome(1_200) else {
         panic!("expected a delivery");
     };
-    assert_eq!(delivered.head.client_flow(), flow(51));
+    assert_eq!(delivered.header.client_flow(), flow(51));
 }
 
 /// Guards against urgent openings that wait behind bulk traffic. Requests on open flows cannot be
@@ -153,23 +153,23 @@
     let mut agent = new_agent();
     fill(&mut agent);
     let urgent = |port| opening(flow(port));
-    let head = urgent(60);
-    let decision = agent.delivery(&Arrival { urgent: true, ..arrival(&head) }, 0);
+    let header = urgent(60);
+    let decision = agent.delivery(&Arrival { urgent: true, ..arrival(&header) }, 0);
     assert!(matches!(decision, DeliveryDecision::Deliver { .. }));
     // Eight requests in flight are the limit for urgent ones, too.
     for port in 61..63 {
         deliver(&mut agent, &request(port, 0), 0);
     }
     for (port, urgent) in [(70, true), (71, false)] {
-        let head = opening(flow(port));
-        agent.delivery(&Arrival { may_wait: true, urgent, ..arrival(&head) }, 1);
+        let header = opening(flow(port));
+        agent.delivery(&Arrival { may_wait: true, urgent, ..arrival(&header) }, 1);
     }
     assert_eq!(agent.next_outcome(2), None);
     agent.output(&answer(flow(0)), 3);
     let Some(WaitOutcome::Deliver(first, _)) = agent.next_outcome(3) else {
         panic!("expected a delivery");
     };
-    assert_eq!(first.head.client_flow(), flow(70));
+    assert_eq!(first.header.client_flow(), flow(70));
     assert_eq!(agent.next_outcome(4), None);
 }
 
@@ -180,9 +180,9 @@
     let mut agent = new_agent();
     fill(&mut agent);
     let wait = |agent: &mut Agent, port: u16, urgent: bool, now: u64| {
-        let head = opening(flow(port));
-        match agent.delivery(&Arrival { may_wait: true, urgent, ..arrival(&head) }, now) {
-            DeliveryDecision::Wait { displaced } => displaced.map(|opening| opening.head),
+        let header = opening(flow(port));
+        match agent.delivery(&Arrival { may_wait: true, urgent, ..arrival(&header) }, now) {
+            DeliveryDecision::Wait { displaced } => displaced.map(|opening| opening.header),
             other => panic!("expected a wait, got {other:?}"),
         }
     };
@@ -207,12 +207,12 @@
 fn waiting_opening_is_dropped_when_its_copy_is_delivered() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(50));
-    let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 1);
+    let header = opening(flow(50));
+    let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 1);
     assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     // The target has more slots than first reported.
     agent.set_slots(8);
-    let copy = PacketHead { acknowledgment: 1, ..head };
+    let copy = PacketHeader { acknowledgment: 1, ..header };
     deliver(&mut agent, &copy, 201);
     for port in 60..70 {
         deliver(&mut agent, &request(port, 0), 202);
--- a/crates/steering/tests/agent.rs
+++ b/crates/steering/tests/agent.rs
@@ -6,20 +6,20 @@
 use support::{OTHER, SERVICE, agent as address, data, flow, opening, packet};
 use weirhinge_fleet::{ReturnReason, SearchPath, ServiceId};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, Flags, HoldsNotice, OutputDecision, OutputDrop, PacketHead,
+    Agent, Arrival, DeliveryDecision, Flags, HoldsNotice, OutputDecision, OutputDrop, PacketHeader,
     WaitOutcome,
 };
 
 #[test]
 fn opening_for_another_service_is_returned() {
     let mut agent = new_agent();
-    let head = opening(flow(1));
-    let wrong = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
+    let header = opening(flow(1));
+    let wrong = Arrival { service: ServiceId::of(OTHER), ..arrival(&header) };
     let returned = DeliveryDecision::Return(ReturnReason::OtherService);
     assert_eq!(agent.delivery(&wrong, 0), returned);
     // Whether to accept a later packet is up to the target.
-    let head = data(flow(1));
-    let later = Arrival { service: ServiceId::of(OTHER), ..arrival(&head) };
+    let header = data(flow(1));
+    let later = Arrival { service: ServiceId::of(OTHER), ..arrival(&header) };
     assert!(matches!(agent.delivery(&later, 0), DeliveryDecision::Deliver { .. }));
 }
 
@@ -27,14 +27,14 @@
 fn bounced_packet_is_returned_to_its_balancer() {
     let mut agent = new_agent();
     let first = deliver(&mut agent, &data(flow(1)), 0);
-    let head = data(flow(2));
-    let second = Arrival { balancer: address(101), ..arrival(&head) };
+    let header = data(flow(2));
+    let second = Arrival { balancer: address(101), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo: second, .. } = agent.delivery(&second, 0) else {
         panic!("expected a delivery");
     };
     let bounced = |port, echo| {
         let flags = Flags { ack: true, bounced: true, ..Flags::default() };
-        PacketHead { echo, ..packet(flow(port), flags, 100) }
+        PacketHeader { echo, ..packet(flow(port), flags, 100) }
     };
     let back = |balancer| OutputDecision::Return { balancer, granted: false };
     assert_eq!(agent.output(&bounced(1, first), 1), back(address(100)));
@@ -53,7 +53,7 @@
         deliver(&mut agent, &data(flow(2)), 0);
     }
     let flags = Flags { bounced: true, ..Flags::default() };
-    let late = PacketHead { echo: first, ..packet(flow(1), flags, 0) };
+    let late = PacketHeader { echo: first, ..packet(flow(1), flags, 0) };
     assert_eq!(agent.output(&late, 1), OutputDecision::Drop(OutputDrop::UnknownDelivery));
 }
 
@@ -69,8 +69,8 @@
 }
 
 /// Returns the agent's immediate answer to a search for the packet's flow.
-fn search(agent: &mut Agent, head: &PacketHead, now: u64) -> Option<HoldsNotice> {
-    match agent.delivery(&Arrival { search: Some(&[]), ..arrival(head) }, now) {
+fn search(agent: &mut Agent, header: &PacketHeader, now: u64) -> Option<HoldsNotice> {
+    match agent.delivery(&Arrival { search: Some(&[]), ..arrival(header) }, now) {
         DeliveryDecision::Deliver { notice, .. } => notice,
         other => panic!("expected a delivery, got {other:?}"),
     }
@@ -106,7 +106,7 @@
     deliver(&mut agent, &opening(flow(3)), 4);
     let echo = deliver(&mut agent, &request(3, 1), 5);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    agent.output(&PacketHead { echo, ..packet(flow(3), bounced, 0) }, 6);
+    agent.output(&PacketHeader { echo, ..packet(flow(3), bounced, 0) }, 6);
     assert_eq!(search(&mut agent, &request(3, 1), 7), None);
 }
 
@@ -114,12 +114,12 @@
 fn bounced_search_visits_next_agents_then_returns() {
     let mut agent = new_agent();
     let next = [address(2).to_bits(), address(3).to_bits()];
-    let head = request(1, 1);
-    let bounce = |echo| PacketHead {
+    let header = request(1, 1);
+    let bounce = |echo| PacketHeader {
         echo,
         ..packet(flow(1), Flags { bounced: true, ..Flags::default() }, 0)
     };
-    let arriving = Arrival { search: Some(&next), ..arrival(&head) };
+    let arriving = Arrival { search: Some(&next), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo, .. } = agent.delivery(&arriving, 0) else {
         panic!("expected a delivery");
     };
@@ -129,7 +129,7 @@
     // A duplicated bounce is dropped.
     let unknown = OutputDecision::Drop(OutputDrop::UnknownDelivery);
     assert_eq!(agent.output(&bounce(echo), 2), unknown);
-    let last = Arrival { search: Some(&[]), ..arrival(&head) };
+    let last = Arrival { search: Some(&[]), ..arrival(&header) };
     let DeliveryDecision::Deliver { echo, .. } = agent.delivery(&last, 3) else {
         panic!("expected a delivery");
     };
@@ -155,7 +155,7 @@
     let mut agent = new_agent();
     search(&mut agent, &request(1, 1), 100);
     let bounced = Flags { bounced: true, ..Flags::default() };
-    agent.output(&PacketHead { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
+    agent.output(&PacketHeader { echo: 1, ..packet(flow(1), bounced, 0) }, 110);
     assert_eq!(agent.next_search_notice(200), None);
     // A new search has a bounce timeout of its own.
     search(&mut agent, &request(1, 1), 200);
@@ -171,8 +171,8 @@
 #[test]
 fn searched_flow_is_confirmed_once() {
     let mut agent = new_agent();
-    let head = data(flow(1));
-    agent.delivery(&Arrival { search: Some(&[]), ..arrival(&head) }, 0);
+    let header = data(flow(1));
+    agent.delivery(&Arrival { search: Some(&[]), ..arrival(&header) }, 0);
     let notice = HoldsNotice { balancer: address(100), flow: flow(1), confirmed: true };
     let notified = OutputDecision::ToClient { notice: Some(notice) };
     assert_eq!(agent.output(&answer(flow(1)), 1), notified);
@@ -230,8 +230,8 @@
 fn stopping_agent_rejects_new_flows_and_keeps_open_ones() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(50));
-    agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+    let header = opening(flow(50));
+    agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     agent.leave();
     let leaving = DeliveryDecision::Return(ReturnReason::Leaving);
     assert_eq!(agent.delivery(&arrival(&opening(flow(9))), 1), leaving);
--- a/crates/steering/tests/balancer.rs
+++ b/crates/steering/tests/balancer.rs
@@ -7,10 +7,12 @@
 
 use support::{
     Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, flow, forwarded, is_far, opening,
-    two_groups,
+    targets_in_two_zones,
 };
 use weirhinge_fleet::{ReturnReason, ServiceId, TargetState, ZoneId};
-use weirhinge_steering::{Balancer, Decision, DropReason, ForwardReason, PacketHead, ResetReason};
+use weirhinge_steering::{
+    Balancer, Decision, DropReason, ForwardReason, PacketHeader, ResetReason,
+};
 
 #[test]
 fn flow_stays_at_the_target_that_answered() {
@@ -40,7 +42,7 @@
 #[test]
 fn opening_tries_every_target_before_it_is_refused() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
-    let (mut visited, end) = fixture.bounce_to_the_end(&opening(flow(1)), LATER);
+    let (mut visited, end) = fixture.bounce_until_search_ends(&opening(flow(1)), LATER);
     visited.sort();
     assert_eq!(visited, (1..=7).map(agent).collect::<Vec<_>>());
     assert_eq!(end, Decision::Reset { sequence: 0, reason: ResetReason::Refused });
@@ -52,19 +54,19 @@
     let mut fixture = Fixture::new(&Store::with_targets(7));
     for number in 1..=7 {
         let waiting = if number == 6 { 8 } else { 9 };
-        fixture.balancer.heard(agent(number), waiting, LATER);
+        fixture.balancer.note_answer(agent(number), waiting, LATER);
     }
-    let head = opening(flow(1));
-    let decision = fixture.client(&head, LATER);
+    let header = opening(flow(1));
+    let decision = fixture.client(&header, LATER);
     assert!(!forwarded(&decision).may_wait());
     let from = forwarded(&decision).agent;
-    fixture.balancer.heard(from, if from == agent(6) { 8 } else { 9 }, LATER);
-    let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
+    fixture.balancer.note_answer(from, if from == agent(6) { 8 } else { 9 }, LATER);
+    let decision = fixture.returned(&header, from, ReturnReason::Busy, LATER);
     assert!(forwarded(&decision).may_wait());
     assert_eq!(forwarded(&decision).agent, agent(6));
     // After an unsuccessful wait it is refused at once.
     let refused = Decision::Reset { sequence: 0, reason: ResetReason::Refused };
-    assert_eq!(fixture.returned(&head, agent(6), ReturnReason::Busy, LATER + 1_100), refused);
+    assert_eq!(fixture.returned(&header, agent(6), ReturnReason::Busy, LATER + 1_100), refused);
 }
 
 /// Guards against refusing an opening within milliseconds when all of a small number of targets are
@@ -73,15 +75,15 @@
 fn opening_waits_when_all_of_few_targets_are_busy() {
     for targets in [1, 2] {
         let mut fixture = Fixture::new(&Store::with_targets(targets));
-        let head = opening(flow(1));
-        let decision = fixture.client(&head, LATER);
+        let header = opening(flow(1));
+        let decision = fixture.client(&header, LATER);
         assert!(!forwarded(&decision).may_wait());
         let from = forwarded(&decision).agent;
-        let decision = fixture.returned(&head, from, ReturnReason::Busy, LATER + 1);
+        let decision = fixture.returned(&header, from, ReturnReason::Busy, LATER + 1);
         assert!(forwarded(&decision).may_wait());
         let from = forwarded(&decision).agent;
         let refused = Decision::Reset { sequence: 0, reason: ResetReason::Refused };
-        assert_eq!(fixture.returned(&head, from, ReturnReason::Busy, LATER + 1_100), refused);
+        assert_eq!(fixture.returned(&header, from, ReturnReason::Busy, LATER + 1_100), refused);
     }
 }
 
@@ -147,8 +149,8 @@
 #[test]
 fn less_loaded_of_two_targets_gets_the_flow() {
     let mut fixture = Fixture::new(&Store::with_targets(2));
-    fixture.balancer.heard(agent(1), 6, LATER);
-    fixture.balancer.heard(agent(2), 0, LATER);
+    fixture.balancer.note_answer(agent(1), 6, LATER);
+    fixture.balancer.note_answer(agent(2), 0, LATER);
     assert_eq!(forwarded(&fixture.client(&opening(flow(1)), LATER)).agent, agent(2));
 }
 
@@ -231,7 +233,7 @@
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
     fixture.balancer.note_store_regained(LATER);
-    fixture.claimed(agent(9), LATER);
+    fixture.note_target_status(agent(9), LATER);
     let mut chosen: Vec<Ipv4Addr> = (0..50)
         .map(|port| forwarded(&fixture.client(&opening(flow(port)), LATER + 100)).agent)
         .collect();
@@ -250,7 +252,7 @@
     let mut store = Store::with_targets(1);
     store.target(1, SERVICE, None, LATER);
     let mut fixture = Fixture::new(&store);
-    fixture.claimed(agent(1), LATER);
+    fixture.note_target_status(agent(1), LATER);
     assert!(matches!(fixture.client(&opening(flow(1)), LATER + 1_000), Decision::Forward(_)));
     assert!(matches!(fixture.client(&opening(flow(2)), LATER + 2_000), Decision::Reset { .. }));
 }
@@ -258,28 +260,28 @@
 #[test]
 fn bounced_packet_from_a_client_is_dropped() {
     let mut fixture = Fixture::new(&Store::with_targets(1));
-    let mut head = data(flow(1));
-    head.flags.bounced = true;
+    let mut header = data(flow(1));
+    header.flags.bounced = true;
     let dropped = Decision::Drop(DropReason::BouncedByClient);
-    assert_eq!(fixture.client(&head, LATER), dropped);
+    assert_eq!(fixture.client(&header, LATER), dropped);
 }
 
 #[test]
 fn balancer_without_answers_from_agents_is_isolated() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     assert!(!fixture.balancer.is_isolated(LATER), "not isolated before the first report");
-    fixture.claimed(agent(1), LATER);
+    fixture.note_target_status(agent(1), LATER);
     assert!(!fixture.balancer.is_isolated(LATER + 600));
     assert!(fixture.balancer.is_isolated(LATER + 700));
-    fixture.claimed(agent(2), LATER + 800);
+    fixture.note_target_status(agent(2), LATER + 800);
     assert!(!fixture.balancer.is_isolated(LATER + 801));
     // Agents' reports arrive here, but openings do not reach the agents and stay unanswered.
     for port in 0..10 {
         fixture.client(&opening(flow(port)), LATER + 900);
     }
-    fixture.claimed(agent(1), LATER + 1_700);
+    fixture.note_target_status(agent(1), LATER + 1_700);
     assert!(fixture.balancer.is_isolated(LATER + 1_700));
-    fixture.balancer.heard(agent(1), 0, LATER + 1_800);
+    fixture.balancer.note_answer(agent(1), 0, LATER + 1_800);
     assert!(!fixture.balancer.is_isolated(LATER + 1_801));
 }
 
@@ -303,14 +305,14 @@
 #[test]
 fn retransmission_goes_to_the_target_where_the_opening_waits() {
     let mut fixture = Fixture::new(&Store::with_targets(7));
-    let head = opening(flow(1));
-    let mut decision = fixture.client(&head, LATER);
+    let header = opening(flow(1));
+    let mut decision = fixture.client(&header, LATER);
     while !forwarded(&decision).may_wait() {
         let from = forwarded(&decision).agent;
-        decision = fixture.returned(&head, from, ReturnReason::Busy, LATER);
+        decision = fixture.returned(&header, from, ReturnReason::Busy, LATER);
     }
     let waits_at = forwarded(&decision).agent;
-    let retransmission = fixture.client(&PacketHead { acknowledgment: 1, ..head }, LATER + 200);
+    let retransmission = fixture.client(&PacketHeader { acknowledgment: 1, ..header }, LATER + 200);
     assert_eq!(forwarded(&retransmission).agent, waits_at);
     assert!(forwarded(&retransmission).may_wait());
 }
@@ -335,13 +337,13 @@
 /// quarters of the packets would cross zones.
 #[test]
 fn flows_stay_in_their_zone_within_the_load_margin() {
-    let store = two_groups();
+    let store = targets_in_two_zones();
     let mut fixture = Fixture::new(&store);
     fixture.view = store.view_in_zone("b");
     let chosen = |fixture: &mut Fixture, port, own_load, other_load| {
         for number in (1..=3).chain(51..=53) {
             let load = if number > 50 { own_load } else { other_load };
-            fixture.balancer.heard(agent(number), load, LATER);
+            fixture.balancer.note_answer(agent(number), load, LATER);
         }
         forwarded(&fixture.client(&opening(flow(port)), LATER)).agent
     };
@@ -358,29 +360,29 @@
 
 #[test]
 fn flows_stay_in_their_region_until_its_targets_are_busy() {
-    let store = two_groups();
+    let store = targets_in_two_zones();
     let mut fixture = Fixture::new(&store);
     for number in (1..=3).chain(51..=53) {
-        fixture.balancer.heard(agent(number), 2, LATER);
+        fixture.balancer.note_answer(agent(number), 2, LATER);
     }
     let chosen = |fixture: &mut Fixture, port| {
         let decision = fixture.client(&opening(flow(port)), LATER);
         let chosen = forwarded(&decision).agent;
         let waiting = if is_far(chosen) { 0 } else { 2 };
-        fixture.balancer.heard(chosen, waiting, LATER);
+        fixture.balancer.note_answer(chosen, waiting, LATER);
         chosen
     };
     assert!((0..100).all(|port| !is_far(chosen(&mut fixture, port))));
     for number in 1..=3 {
-        fixture.balancer.heard(agent(number), 9, LATER);
+        fixture.balancer.note_answer(agent(number), 9, LATER);
     }
     for number in 51..=53 {
-        fixture.balancer.heard(agent(number), 0, LATER);
+        fixture.balancer.note_answer(agent(number), 0, LATER);
     }
     assert!(is_far(chosen(&mut fixture, 500)));
     // For a balancer in the other region, near and far are swapped.
     fixture.view = store.view_from("far");
-    fixture.balancer.heard(agent(1), 0, LATER);
+    fixture.balancer.note_answer(agent(1), 0, LATER);
     assert!((600..700).all(|port| is_far(chosen(&mut fixture, port))));
 }
 
@@ -399,8 +401,8 @@
 fn agent_reports_replace_missing_store_data() {
     let mut fixture = Fixture::new(&Store::with_targets(0));
     fixture.fresh = false;
-    fixture.claimed(agent(1), LATER);
-    fixture.balancer.claimed(agent(2), ZoneId::of("a"), &claim(OTHER), LATER);
+    fixture.note_target_status(agent(1), LATER);
+    fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &claim(OTHER), LATER);
     let decision = fixture.client(&opening(flow(1)), LATER + 100);
     assert_eq!(forwarded(&decision).agent, agent(1));
 }
--- a/crates/steering/tests/client_shares.rs
+++ b/crates/steering/tests/client_shares.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
-use weirhinge_steering::{AdmissionRate, CallerRank, ClientShares, caller_rank, may_wait};
+use weirhinge_steering::{AdmissionRate, ClientRank, ClientShares, client_rank, may_wait};
 
 const BUDGET_MS: Millis = 200;
 const HEAVY: Ipv4Addr = Ipv4Addr::new(10, 9, 9, 9);
@@ -39,7 +39,7 @@
 impl Queue {
     fn arrive(&mut self, client: Ipv4Addr, now: Millis) {
         let ahead = self.waiting.len();
-        let rank = self.shares.rank(client, caller_rank(client, now), now);
+        let rank = self.shares.rank(client, client_rank(client, now), now);
         if may_wait(self.rate.expected_wait(ahead, now), ahead, BUDGET_MS, rank) {
             self.rate.note_waiting_started(now);
             self.shares.note_queued(client);
@@ -156,7 +156,7 @@
     for _ in 0..HEAVY_OPENINGS {
         shares.note_queued(HEAVY);
     }
-    assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(HEAVY, ClientRank::SERVED_FIRST, 0), ClientRank::SERVED_FIRST);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         }
     }
     for client in [light(1), light(2), light(3), light(9)] {
-        let own = CallerRank::from(12_345);
+        let own = ClientRank::from(12_345);
         assert_eq!(shares.rank(client, own, 0), own, "{client}");
     }
 }
@@ -181,8 +181,8 @@
         shares.note_queued(HEAVY);
         shares.note_admitted(HEAVY, 100);
     }
-    let own = CallerRank::SERVED_FIRST;
-    assert!(shares.rank(HEAVY, own, 1_099) > CallerRank::REFUSED_FIRST);
+    let own = ClientRank::SERVED_FIRST;
+    assert!(shares.rank(HEAVY, own, 1_099) > ClientRank::REFUSED_FIRST);
     assert_eq!(shares.rank(HEAVY, own, 1_100), own);
 }
 
@@ -195,19 +195,19 @@
     shares.note_given_up(HEAVY);
     shares.note_given_up(HEAVY);
     shares.note_given_up(HEAVY);
-    assert_eq!(shares.rank(HEAVY, CallerRank::SERVED_FIRST, 0), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(HEAVY, ClientRank::SERVED_FIRST, 0), ClientRank::SERVED_FIRST);
 }
 
 #[test]
 fn rank_worsens_with_each_share_and_keeps_its_order() {
-    let ranks = [0, 1, 20_000, 40_000, u16::MAX].map(CallerRank::from);
+    let ranks = [0, 1, 20_000, 40_000, u16::MAX].map(ClientRank::from);
     for times in 0..200 {
-        let worse = ranks.map(|rank| rank.with_shares(times + 1));
-        let better = ranks.map(|rank| rank.with_shares(times));
+        let worse = ranks.map(|rank| rank.with_shares_used(times + 1));
+        let better = ranks.map(|rank| rank.with_shares_used(times));
         assert!(better[4] <= worse[0], "{times} shares: {better:?} {worse:?}");
         assert!(worse.is_sorted(), "{worse:?}");
     }
-    let worst = CallerRank::REFUSED_FIRST.with_shares(u32::MAX);
+    let worst = ClientRank::REFUSED_FIRST.with_shares_used(u32::MAX);
     assert!(may_wait(Some(BUDGET_MS / 8), 1, BUDGET_MS, worst));
     assert!(!may_wait(Some(BUDGET_MS / 8 + 1), 1, BUDGET_MS, worst));
 }
@@ -222,10 +222,10 @@
     // The first of these clients have been dropped from the table.
     shares.note_queued(light(0));
     shares.note_queued(light(0));
-    let rank = shares.rank(light(0), CallerRank::SERVED_FIRST, 5);
-    assert_eq!(rank, CallerRank::SERVED_FIRST.with_shares(1));
+    let rank = shares.rank(light(0), ClientRank::SERVED_FIRST, 5);
+    assert_eq!(rank, ClientRank::SERVED_FIRST.with_shares_used(1));
     for _ in 0..3 {
         shares.note_given_up(light(0));
     }
-    assert_eq!(shares.rank(light(0), CallerRank::SERVED_FIRST, 5), CallerRank::SERVED_FIRST);
+    assert_eq!(shares.rank(light(0), ClientRank::SERVED_FIRST, 5), ClientRank::SERVED_FIRST);
 }
--- a/crates/steering/tests/failing_targets.rs
+++ b/crates/steering/tests/failing_targets.rs
@@ -124,8 +124,8 @@
 fn flow_without_better_target_is_admitted() {
     let mut agent = new_agent();
     fail(&mut agent, 1..4, 100);
-    let head = opening(flow(50));
-    let last_resort = Arrival { may_wait: true, ..arrival(&head) };
+    let header = opening(flow(50));
+    let last_resort = Arrival { may_wait: true, ..arrival(&header) };
     let decision = agent.delivery(&last_resort, 101);
     assert!(matches!(decision, DeliveryDecision::Deliver { .. }));
 }
@@ -133,8 +133,8 @@
 /// Sends an opening packet, which every target in `failing` rejects. Returns the last decision and
 /// the number of rejections.
 fn send_opening(fixture: &mut Fixture, port: u16, failing: &[Ipv4Addr]) -> (Decision, usize) {
-    let head = opening(flow(port));
-    let mut decision = fixture.client(&head, LATER);
+    let header = opening(flow(port));
+    let mut decision = fixture.client(&header, LATER);
     let mut returns = 0;
     while let Decision::Forward(forward) = &decision {
         if forward.may_wait() || !failing.contains(&forward.agent) {
@@ -142,7 +142,7 @@
         }
         let from = forward.agent;
         returns += 1;
-        decision = fixture.returned(&head, from, ReturnReason::Failing, LATER);
+        decision = fixture.returned(&header, from, ReturnReason::Failing, LATER);
     }
     (decision, returns)
 }
--- a/crates/steering/tests/former_flow_reports.rs
+++ b/crates/steering/tests/former_flow_reports.rs
@@ -8,12 +8,12 @@
 
 use support::agent_fixture::{answer, arrival, deliver, new_agent, output};
 use support::{
-    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, flow, many_agent, opening,
-    rows,
+    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, fleet_agent, flow,
+    opening, paths,
 };
 use weirhinge_fleet::{Route, RoutePart, TargetClaim, TargetState, ZoneId};
 use weirhinge_steering::{
-    Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHead,
+    Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHeader,
 };
 
 /// Longest lag of balancers behind a route change.
@@ -23,7 +23,7 @@
     view.label().map(|label| label.version)
 }
 
-fn reset() -> PacketHead {
+fn reset() -> PacketHeader {
     output(flow(1), Flags { rst: true, ..Flags::default() }, 0)
 }
 
@@ -114,8 +114,8 @@
     let (mut agent, mut store) = agent_with_route();
     remove_from_route(&mut agent, &mut store, LATER);
     let now = LATER + PROPAGATION_MS;
-    let head = data(flow(1));
-    let searching = Arrival { search: Some(&[]), ..arrival(&head) };
+    let header = data(flow(1));
+    let searching = Arrival { search: Some(&[]), ..arrival(&header) };
     assert!(matches!(agent.delivery(&searching, now), DeliveryDecision::Deliver { .. }));
     assert!(agent.without_former_flows(now + 1).is_some());
     assert!(matches!(agent.output(&answer(flow(1)), now + 2), OutputDecision::ToClient { .. }));
@@ -161,12 +161,12 @@
 
 fn report(fixture: &mut Fixture, agent: Ipv4Addr, without: Option<u64>, now: u64) {
     let claim = TargetClaim { without_former_flows: without, ..claim(OTHER) };
-    fixture.balancer.claimed(agent, ZoneId::of("a"), &claim, now);
+    fixture.balancer.note_target_status(agent, ZoneId::of("a"), &claim, now);
 }
 
 /// Whether the search for a lost flow includes the target of the other service.
 fn searches_other(fixture: &mut Fixture, now: u64) -> bool {
-    let (searched, _) = fixture.bounce_to_the_end(&data(flow(1)), now);
+    let (searched, _) = fixture.bounce_until_search_ends(&data(flow(1)), now);
     searched.contains(&agent(11))
 }
 
@@ -270,17 +270,17 @@
 /// Lets all targets return a lost flow's packet. Returns the agents searched, and the packets and
 /// waves that the balancer sent.
 fn run_unsuccessful_search(fixture: &mut Fixture) -> (BTreeSet<Ipv4Addr>, usize, usize) {
-    let head = data(flow(1));
+    let header = data(flow(1));
     let (mut searched, mut packets, mut waves) = (BTreeSet::new(), 0, 0);
-    let mut decision = fixture.client(&head, LATER);
+    let mut decision = fixture.client(&header, LATER);
     while let Decision::Forward(_) = &decision {
-        let row_list = rows(&decision);
+        let row_list = paths(&decision);
         packets += row_list.len();
         waves += 1;
         assert!(row_list.iter().flatten().all(|agent| searched.insert(*agent)), "searched twice");
         for row in row_list {
             let last = *row.last().expect("no row is empty");
-            decision = fixture.bounced(&head, last, LATER + 1);
+            decision = fixture.bounced(&header, last, LATER + 1);
         }
     }
     (searched, packets, waves)
@@ -297,7 +297,7 @@
 
     let mut fixture = Fixture::new(&store);
     for number in 0..TARGETS {
-        report(&mut fixture, many_agent(number), named, LATER);
+        report(&mut fixture, fleet_agent(number), named, LATER);
     }
     let (searched, packets, waves) = run_unsuccessful_search(&mut fixture);
     println!("all reported: {} targets, {packets} packets, {waves} waves", searched.len());
@@ -305,9 +305,9 @@
     assert_eq!(searched.len(), of_route, "only targets of the route's service");
 
     let mut fixture = Fixture::new(&store);
-    let holder = many_agent(TARGETS - 1);
+    let holder = fleet_agent(TARGETS - 1);
     for number in 0..TARGETS - 1 {
-        report(&mut fixture, many_agent(number), named, LATER);
+        report(&mut fixture, fleet_agent(number), named, LATER);
     }
     let (searched, ..) = run_unsuccessful_search(&mut fixture);
     assert!(searched.contains(&holder));
@@ -317,7 +317,7 @@
 #[test]
 fn former_flows_of_any_address_are_found_in_large_fleet() {
     let store = large_fleet();
-    let holder = many_agent(TARGETS - 1);
+    let holder = fleet_agent(TARGETS - 1);
     for number in [0, 1, ADDRESSES / 2] {
         let mut fixture = Fixture::new(&store);
         let service = SocketAddrV4::new(
@@ -325,11 +325,12 @@
             endpoint().port(),
         );
         let key = weirhinge_steering::FlowKey { service, ..flow(9) };
-        let head = data(key);
-        let mut decision = fixture.client(&head, LATER);
-        while !rows(&decision).concat().contains(&holder) {
-            for row in rows(&decision) {
-                decision = fixture.bounced(&head, *row.last().expect("no row is empty"), LATER + 1);
+        let header = data(key);
+        let mut decision = fixture.client(&header, LATER);
+        while !paths(&decision).concat().contains(&holder) {
+            for row in paths(&decision) {
+                decision =
+                    fixture.bounced(&header, *row.last().expect("no row is empty"), LATER + 1);
             }
         }
     }
--- a/crates/steering/tests/grant_bounds.rs
+++ b/crates/steering/tests/grant_bounds.rs
@@ -127,11 +127,11 @@
     fn open(&mut self, kind: impl Fn(Arrival<'_>) -> Arrival<'_>, duplicated: bool) {
         let port = self.next_port;
         self.next_port += 1;
-        let head = opening(flow(port));
-        let decision = self.agent.delivery(&kind(arrival(&head)), self.now);
+        let header = opening(flow(port));
+        let decision = self.agent.delivery(&kind(arrival(&header)), self.now);
         if is_delivered(&decision) {
             if duplicated {
-                let copy = self.agent.delivery(&kind(arrival(&head)), self.now);
+                let copy = self.agent.delivery(&kind(arrival(&header)), self.now);
                 assert!(is_delivered(&copy), "{copy:?}");
             }
             self.record_admission(port);
@@ -148,7 +148,7 @@
         loop {
             let outcome = self.agent.next_outcome(self.now);
             if let Some(WaitOutcome::Deliver(opening, _)) = &outcome {
-                self.record_admission(opening.head.source.port());
+                self.record_admission(opening.header.source.port());
             }
             let granted = self.agent.next_grant(self.now);
             if outcome.is_none() && granted.is_none() {
--- a/crates/steering/tests/grants.rs
+++ b/crates/steering/tests/grants.rs
@@ -8,7 +8,7 @@
 use support::{agent as balancer, flow, opening, packet};
 use weirhinge_fleet::{Millis, OpeningDemand};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, Flags, Grant, OutputDecision, PacketHead, WaitOutcome,
+    Agent, Arrival, DeliveryDecision, Flags, Grant, OutputDecision, PacketHeader, WaitOutcome,
 };
 
 #[test]
@@ -113,9 +113,9 @@
         if !urgent_only {
             open_to_all.push(port - 1_000);
         }
-        let head = opening(flow(port));
+        let header = opening(flow(port));
         let (balancer, granted) = (balancer(101), Some(both));
-        let used = Arrival { balancer, granted, urgent: is_urgent, ..arrival(&head) };
+        let used = Arrival { balancer, granted, urgent: is_urgent, ..arrival(&header) };
         assert!(is_delivered(&agent.delivery(&used, 1_000)));
         deliver(&mut agent, &request(port, 0), 1_000);
         answer_request(&mut agent, port, 1_000);
@@ -137,8 +137,8 @@
 #[test]
 fn opening_without_grant_does_not_overtake_waiting_ones() {
     let direct = |agent: &Agent, urgent| {
-        let head = opening(flow(70));
-        agent.clone().delivery(&Arrival { urgent, ..arrival(&head) }, 101)
+        let header = opening(flow(70));
+        agent.clone().delivery(&Arrival { urgent, ..arrival(&header) }, 101)
     };
     let mut agent = agent_at_limit();
     answer_request(&mut agent, 0, 100);
@@ -160,8 +160,8 @@
 fn openings_at_the_agent_take_turns_with_grants() {
     let mut agent = agent_at_limit();
     for port in 50..54 {
-        let head = opening(flow(port));
-        let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+        let header = opening(flow(port));
+        let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
         assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     }
     request_capacity(&mut agent, 101, non_urgent(9, 50), 90);
@@ -181,8 +181,8 @@
 #[test]
 fn openings_at_the_agent_do_not_block_urgent_grants() {
     let mut agent = agent_at_limit();
-    let head = opening(flow(50));
-    agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+    let header = opening(flow(50));
+    agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
     request_capacity(&mut agent, 101, urgent(9, 50), 90);
     // Five requests are in flight: the remaining capacity is for urgent openings only.
     assert_eq!(agent.next_outcome(90), None);
@@ -200,8 +200,8 @@
 #[test]
 fn bounced_opening_reports_whether_it_had_a_grant() {
     let mut agent = agent_at_limit();
-    let head = opening(flow(50));
-    let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 90);
+    let header = opening(flow(50));
+    let waits = agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 90);
     assert_eq!(waits, DeliveryDecision::Wait { displaced: None });
     for port in 0..5 {
         answer_request(&mut agent, port, 100);
@@ -215,7 +215,7 @@
     let direct = echo_label(agent.delivery(&arrival(&opening(flow(52))), 101));
     let flags = Flags { bounced: true, ..Flags::default() };
     for (port, echo, granted) in [(50, waited, false), (51, granted, true), (52, direct, false)] {
-        let bounced = PacketHead { echo, ..packet(flow(port), flags, 0) };
+        let bounced = PacketHeader { echo, ..packet(flow(port), flags, 0) };
         let back = OutputDecision::Return { balancer: balancer(100), granted };
         assert_eq!(agent.output(&bounced, 102), back);
     }
--- a/crates/steering/tests/grants_unanswered.rs
+++ b/crates/steering/tests/grants_unanswered.rs
@@ -130,9 +130,9 @@
     // Its capacity was granted to another balancer.
     request_capacity(&mut without_capacity, 102, non_urgent(3, 500), 119);
     assert_eq!(grantees(&mut without_capacity, 120), [102]);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let granted = Some(non_urgent(2, 90));
-    let late = Arrival { balancer: balancer(101), granted, may_wait: true, ..arrival(&head) };
+    let late = Arrival { balancer: balancer(101), granted, may_wait: true, ..arrival(&header) };
     assert_eq!(without_capacity.delivery(&late, 121), BUSY);
     assert_eq!(without_capacity.reserved_capacity(), 1, "the grant of the other balancer");
 }
--- a/crates/steering/tests/narrow_link.rs
+++ b/crates/steering/tests/narrow_link.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-use support::{Fixture, LATER, Store, data, flow, rows};
+use support::{Fixture, LATER, Store, data, flow, paths};
 use weirhinge_fleet::{Millis, Timing};
-use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, FlowKey, PacketHead};
+use weirhinge_steering::{Balancer, BalancerLimits, Decision, DropReason, FlowKey, PacketHeader};
 
 /// Bytes that a link of 10 Mbit/s carries per millisecond, in each direction.
 const BYTES_PER_MS: usize = 1_250;
@@ -52,10 +52,10 @@
     now: Millis,
     /// When the agents start; packets before that are lost.
     agents_start_at: Millis,
-    outward: Link<(PacketHead, Vec<Ipv4Addr>)>,
-    inward: Link<(PacketHead, Ipv4Addr)>,
+    outward: Link<(PacketHeader, Vec<Ipv4Addr>)>,
+    inward: Link<(PacketHeader, Ipv4Addr)>,
     /// Packets on their way back to the balancer's link, by arrival time.
-    returning: BTreeMap<Millis, Vec<(PacketHead, Ipv4Addr)>>,
+    returning: BTreeMap<Millis, Vec<(PacketHeader, Ipv4Addr)>>,
     reset_at: BTreeMap<FlowKey, Millis>,
 }
 
@@ -75,15 +75,15 @@
         }
     }
 
-    fn execute(&mut self, head: &PacketHead, decision: &Decision) {
+    fn execute(&mut self, header: &PacketHeader, decision: &Decision) {
         match decision {
             Decision::Forward(_) => {
-                for path in rows(decision) {
-                    self.outward.send((*head, path));
+                for path in paths(decision) {
+                    self.outward.send((*header, path));
                 }
             }
             Decision::Reset { .. } => {
-                self.reset_at.entry(head.client_flow()).or_insert(self.now);
+                self.reset_at.entry(header.client_flow()).or_insert(self.now);
             }
             Decision::Drop(_) | Decision::HandOff { .. } => {}
             Decision::Queue { .. } => panic!("the route has no objective"),
@@ -92,24 +92,24 @@
 
     fn step(&mut self) {
         self.now += 1;
-        for (head, path) in self.outward.tick() {
+        for (header, path) in self.outward.tick() {
             if self.now >= self.agents_start_at {
                 let back = self.now + TRANSIT_MS * (path.len() as Millis + 1);
                 let last = path[path.len() - 1];
-                self.returning.entry(back).or_default().push((head, last));
+                self.returning.entry(back).or_default().push((header, last));
             }
         }
         for packet in self.returning.remove(&self.now).unwrap_or_default() {
             self.inward.send(packet);
         }
-        for (head, from) in self.inward.tick() {
-            let decision = self.fixture.bounced(&head, from, self.now);
-            self.execute(&head, &decision);
+        for (header, from) in self.inward.tick() {
+            let decision = self.fixture.bounced(&header, from, self.now);
+            self.execute(&header, &decision);
         }
         if self.now.is_multiple_of(4) {
-            for (head, _) in self.fixture.balancer.due_searches(self.now) {
-                let decision = self.fixture.continue_search(&head, self.now);
-                self.execute(&head, &decision);
+            for (header, _) in self.fixture.balancer.due_searches(self.now) {
+                let decision = self.fixture.continue_search(&header, self.now);
+                self.execute(&header, &decision);
             }
         }
     }
@@ -117,18 +117,18 @@
     /// Each flow's client sends a packet within the first 100 ms and retransmits it until the flow
     /// is reset. Returns the time until the last flow is reset.
     fn reset_all(&mut self, flows: u16) -> Millis {
-        let heads: Vec<PacketHead> = (0..flows).map(|number| data(flow(number))).collect();
+        let heads: Vec<PacketHeader> = (0..flows).map(|number| data(flow(number))).collect();
         let began = self.now;
         while self.reset_at.len() < heads.len() {
             let elapsed = self.now - began;
             assert!(elapsed < 30_000, "{} of {flows} flows reset in time", self.reset_at.len());
-            for (place, head) in heads.iter().enumerate() {
+            for (place, header) in heads.iter().enumerate() {
                 let first = place as Millis * 100 / Millis::from(flows);
                 let sends = [0, 200, 600, 1_400, 3_000, 4_600, 6_200, 7_800, 9_400];
                 let is_sent_now = sends.iter().any(|after| elapsed == first + after);
-                if is_sent_now && !self.reset_at.contains_key(&head.client_flow()) {
-                    let decision = self.fixture.client(head, self.now);
-                    self.execute(head, &decision);
+                if is_sent_now && !self.reset_at.contains_key(&header.client_flow()) {
+                    let decision = self.fixture.client(header, self.now);
+                    self.execute(header, &decision);
                 }
             }
             self.step();
@@ -193,7 +193,7 @@
     };
     assert!((1..10).contains(&wait_ms), "{wait_ms}");
     let due = fixture.balancer.due_searches(LATER + wait_ms);
-    assert_eq!(due.iter().map(|(head, _)| *head).collect::<Vec<_>>(), [data(flow(number))]);
+    assert_eq!(due.iter().map(|(header, _)| *header).collect::<Vec<_>>(), [data(flow(number))]);
     let again = fixture.continue_search(&data(flow(number)), LATER + wait_ms);
     assert!(matches!(again, Decision::Forward(_)));
 }
--- a/crates/steering/tests/opening_outcomes.rs
+++ b/crates/steering/tests/opening_outcomes.rs
@@ -9,7 +9,7 @@
 use support::agent_fixture::{answer, arrival, new_agent, request};
 use support::{flow, opening};
 use weirhinge_steering::{
-    Agent, Arrival, DeliveryDecision, OutputDecision, PacketHead, WaitOutcome, WaitedOpening,
+    Agent, Arrival, DeliveryDecision, OutputDecision, PacketHeader, PendingOpening, WaitOutcome,
 };
 
 /// Longer than any opening waits, plus the interval between two polls.
@@ -53,12 +53,12 @@
 }
 
 impl Outcomes {
-    fn record_delivery(&mut self, head: &PacketHead) {
-        *self.delivered.entry(head.source.port()).or_default() += 1;
+    fn record_delivery(&mut self, header: &PacketHeader) {
+        *self.delivered.entry(header.source.port()).or_default() += 1;
     }
 
-    fn record_return(&mut self, opening: &WaitedOpening) {
-        let port = opening.head.source.port();
+    fn record_return(&mut self, opening: &PendingOpening) {
+        let port = opening.header.source.port();
         if self.delivered.contains_key(&port) {
             self.returned_after_delivery.push(port);
         }
@@ -67,7 +67,7 @@
     fn poll(&mut self, agent: &mut Agent, now: u64) {
         while let Some(outcome) = agent.next_outcome(now) {
             match outcome {
-                WaitOutcome::Deliver(opening, _) => self.record_delivery(&opening.head),
+                WaitOutcome::Deliver(opening, _) => self.record_delivery(&opening.header),
                 WaitOutcome::Return(opening, _) => self.record_return(&opening),
             }
         }
@@ -85,10 +85,10 @@
         for step in steps {
             match step {
                 Step::Opening { port, copy, urgent, may_wait } => {
-                    let head = PacketHead { acknowledgment: copy.into(), ..opening(flow(port)) };
-                    let arrival = Arrival { urgent, may_wait, ..arrival(&head) };
+                    let header = PacketHeader { acknowledgment: copy.into(), ..opening(flow(port)) };
+                    let arrival = Arrival { urgent, may_wait, ..arrival(&header) };
                     match agent.delivery(&arrival, now) {
-                        DeliveryDecision::Deliver { .. } => outcomes.record_delivery(&head),
+                        DeliveryDecision::Deliver { .. } => outcomes.record_delivery(&header),
                         DeliveryDecision::Wait { displaced: Some(displaced) } => {
                             outcomes.record_return(&displaced);
                         }
@@ -134,8 +134,8 @@
         agent.delivery(&arrival(&request(port, 0)), 0);
     }
     for port in 100..150 {
-        let head = opening(flow(port));
-        agent.delivery(&Arrival { may_wait: true, ..arrival(&head) }, 0);
+        let header = opening(flow(port));
+        agent.delivery(&Arrival { may_wait: true, ..arrival(&header) }, 0);
     }
     let mut returned = 0;
     while let Some(outcome) = agent.next_outcome(PAST_LONGEST_WAIT_MS) {
--- a/crates/steering/tests/opening_queue.rs
+++ b/crates/steering/tests/opening_queue.rs
@@ -58,7 +58,7 @@
     let forward = forwarded(&granted.decision);
     assert_eq!((forward.agent, forward.reason), (agent(1), ForwardReason::OpeningGranted));
     assert!(!forward.may_wait() && !forward.urgent);
-    assert_eq!((granted.head.client_flow(), granted.waited_ms), (flows[0], 10));
+    assert_eq!((granted.header.client_flow(), granted.waited_ms), (flows[0], 10));
     assert_eq!(granted.bytes, b"packet");
     assert_eq!(fixture.serve(2, LATER + 11), Some((flows[1], 1)));
     assert_eq!(fixture.serve(1, LATER + 12), Some((flows[2], 0)));
@@ -77,8 +77,8 @@
     let direct = fixture.client(&opening(urgent(flows[1])), LATER + 1);
     assert_eq!(forwarded(&direct).reason, ForwardReason::Opened);
     let from = forwarded(&direct).agent;
-    let head = opening(urgent(flows[1]));
-    assert!(is_queued(&fixture.returned(&head, from, ReturnReason::Busy, LATER + 1)));
+    let header = opening(urgent(flows[1]));
+    assert!(is_queued(&fixture.returned(&header, from, ReturnReason::Busy, LATER + 1)));
     let answer = fixture.grant(1, LATER + 2);
     assert_eq!(granted_flow(&answer), Some(urgent(flows[1])));
     assert!(forwarded(&answer.granted.expect("the grant is used").decision).urgent);
@@ -157,8 +157,8 @@
             fixture.queue(*flow, LATER);
         }
         assert_eq!(fixture.serve(1, LATER + 10), Some((flows[0], 2)));
-        let head = opening(flows[0]);
-        let decision = fixture.returned_granted(&head, agent(1), reason, LATER + 12);
+        let header = opening(flows[0]);
+        let decision = fixture.returned_granted(&header, agent(1), reason, LATER + 12);
         assert!(is_queued(&decision), "{reason:?}: {decision:?}");
         assert_eq!(fixture.serve(2, LATER + 20), Some((flows[0], 2)), "{reason:?}");
         assert_eq!(fixture.serve(2, LATER + 30), Some((flows[1], 1)), "{reason:?}");
@@ -172,9 +172,9 @@
     fixture.queue(flows[0], LATER);
     fixture.queue(flows[1], LATER + 500);
     assert_eq!(fixture.serve(1, LATER + BUDGET - 1), Some((flows[0], 1)));
-    let head = opening(flows[0]);
+    let header = opening(flows[0]);
     let late = LATER + BUDGET + 1;
-    let decision = fixture.returned_granted(&head, agent(1), ReturnReason::Busy, late);
+    let decision = fixture.returned_granted(&header, agent(1), ReturnReason::Busy, late);
     assert!(is_overloaded(&decision), "{decision:?}");
     assert_eq!(fixture.balancer.queue_length(), 1);
 }
@@ -299,13 +299,13 @@
     let mut fixture = Fixture::new(&store(4));
     let flow = top_ranked_flows(1)[0];
     let unresponsive = forwarded(&fixture.client(&opening(flow), LATER)).agent;
-    let head = retransmission(flow, 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
+    let header = retransmission(flow, 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
     assert_ne!(unresponsive, moved);
     // The first target's late return as busy arrives after the packet went elsewhere.
-    let late = fixture.returned(&head, unresponsive, ReturnReason::Busy, LATER + 201);
+    let late = fixture.returned(&header, unresponsive, ReturnReason::Busy, LATER + 201);
     assert_eq!(late, Decision::Drop(DropReason::OpeningElsewhere));
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 202)));
     let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].decision, Decision::Drop(DropReason::OpeningRefused));
@@ -316,9 +316,9 @@
     let mut fixture = Fixture::new(&store(4));
     let flow = top_ranked_flows(1)[0];
     let holder = forwarded(&fixture.client(&opening(flow), LATER)).agent;
-    let head = retransmission(flow, 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 202)));
+    let header = retransmission(flow, 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 202)));
     fixture.balancer.note_holder(flow, holder, false, 0, LATER + 210);
     assert_eq!(fixture.balancer.queue_length(), 0);
     let held = fixture.client(&data(flow), LATER + 211);
--- a/crates/steering/tests/opening_queue_faults.rs
+++ b/crates/steering/tests/opening_queue_faults.rs
@@ -26,8 +26,8 @@
     assert_eq!(fixture.serve(1, LATER + 150), Some((flow, 0)));
     let repeated = fixture.client(&retransmission(flow, 1), LATER + 200);
     assert_eq!(forwarded(&repeated).reason, ForwardReason::OpeningRepeated);
-    let head = opening(flow);
-    let decision = fixture.returned_granted(&head, agent(1), ReturnReason::Busy, LATER + 201);
+    let header = opening(flow);
+    let decision = fixture.returned_granted(&header, agent(1), ReturnReason::Busy, LATER + 201);
     assert!(is_queued(&decision), "{decision:?}");
     let refused = fixture.refuse_overdue(LATER + BUDGET);
     assert_eq!(refused.len(), 1);
@@ -57,15 +57,15 @@
     fixture.balancer = Balancer::with_capacity(1);
     let flows = top_ranked_flows(2);
     let unresponsive = forwarded(&fixture.client(&opening(flows[0]), LATER)).agent;
-    let head = retransmission(flows[0], 1);
-    let moved = forwarded(&fixture.client(&head, LATER + 200)).agent;
-    assert!(is_queued(&fixture.returned(&head, moved, ReturnReason::Busy, LATER + 201)));
+    let header = retransmission(flows[0], 1);
+    let moved = forwarded(&fixture.client(&header, LATER + 200)).agent;
+    assert!(is_queued(&fixture.returned(&header, moved, ReturnReason::Busy, LATER + 201)));
     fixture.client(&data(flows[1]), LATER + 202);
     let other = (1..=4).map(agent).find(|agent| ![unresponsive, moved].contains(agent));
     let number = other.expect("two other agents exist").octets()[3];
     assert_eq!(fixture.serve(number, LATER + 203), Some((flows[0], 0)));
     let from = agent(number);
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 204);
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 204);
     assert!(is_queued(&decision), "{decision:?}");
     let refused = fixture.refuse_overdue(LATER + 201 + BUDGET);
     assert_eq!(refused.len(), 1, "its budget did not restart");
@@ -165,9 +165,9 @@
     let flows = top_ranked_flows(2);
     let number = returned_then_granted(&mut fixture, flows[0]);
     fixture.queue(flows[1], LATER + 11);
-    let (head, from) = (opening(flows[0]), agent(number));
-    fixture.returned(&head, from, ReturnReason::Busy, LATER + 12);
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 13);
+    let (header, from) = (opening(flows[0]), agent(number));
+    fixture.returned(&header, from, ReturnReason::Busy, LATER + 12);
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 13);
     assert!(is_queued(&decision), "{decision:?}");
     assert_eq!(fixture.serve(other_agent(number), LATER + 14), Some((flows[0], 1)));
     assert_eq!(fixture.serve(other_agent(number), LATER + 15), Some((flows[1], 0)));
@@ -180,12 +180,12 @@
     let mut fixture = Fixture::new(&store(1));
     let flow = top_ranked_flows(1)[0];
     let number = returned_then_granted(&mut fixture, flow);
-    let (head, from) = (opening(flow), agent(number));
-    let decision = fixture.returned_granted(&head, from, ReturnReason::Leaving, LATER + 12);
+    let (header, from) = (opening(flow), agent(number));
+    let decision = fixture.returned_granted(&header, from, ReturnReason::Leaving, LATER + 12);
     assert!(!matches!(decision, Decision::Forward(_)), "{decision:?}");
     let resent = fixture.client(&retransmission(flow, 1), LATER + 200);
     assert_eq!(forwarded(&resent).agent, from);
-    let duplicate = fixture.returned_granted(&head, from, ReturnReason::Busy, LATER + 201);
+    let duplicate = fixture.returned_granted(&header, from, ReturnReason::Busy, LATER + 201);
     assert_eq!(duplicate, Decision::Drop(DropReason::OpeningElsewhere));
 }
 
@@ -196,9 +196,9 @@
     let flow = top_ranked_flows(1)[0];
     let number = returned_then_granted(&mut fixture, flow);
     fixture.balancer.note_holder(flow, agent(number), false, 0, LATER + 11);
-    let head = retransmission(flow, 1);
-    assert_eq!(forwarded(&fixture.client(&head, LATER + 200)).agent, agent(number));
-    let moved = fixture.returned(&head, agent(number), ReturnReason::Leaving, LATER + 201);
+    let header = retransmission(flow, 1);
+    assert_eq!(forwarded(&fixture.client(&header, LATER + 200)).agent, agent(number));
+    let moved = fixture.returned(&header, agent(number), ReturnReason::Leaving, LATER + 201);
     assert_eq!(forwarded(&moved).agent, agent(other_agent(number)));
 }
 
@@ -219,7 +219,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(2));
     let moved = retransmitted_elsewhere(&mut fixture);
     assert_eq!(fixture.bounced(&retransmission(flow(1), 1), moved, LATER + 201), DROPPED);
-    let (visited, refusal) = fixture.bounce_to_the_end(&opening(flow(2)), LATER + 202);
+    let (visited, refusal) = fixture.bounce_until_search_ends(&opening(flow(2)), LATER + 202);
     assert_eq!((visited.len(), refusal), (2, REFUSED), "every target refused it");
 }
 
@@ -227,10 +227,10 @@
 fn waited_opening_is_not_reset_if_an_unresponsive_target_may_hold_it() {
     let mut fixture = Fixture::new(&Store::with_targets(3));
     let moved = retransmitted_elsewhere(&mut fixture);
-    let head = retransmission(flow(1), 1);
-    let waiting = fixture.returned(&head, moved, ReturnReason::Busy, LATER + 201);
+    let header = retransmission(flow(1), 1);
+    let waiting = fixture.returned(&header, moved, ReturnReason::Busy, LATER + 201);
     assert_eq!(forwarded(&waiting).reason, ForwardReason::OpeningWaits);
     let waited_at = forwarded(&waiting).agent;
-    let refused = fixture.returned(&head, waited_at, ReturnReason::Busy, LATER + 1_300);
+    let refused = fixture.returned(&header, waited_at, ReturnReason::Busy, LATER + 1_300);
     assert_eq!(refused, DROPPED);
 }
--- a/crates/steering/tests/queue_delay.rs
+++ b/crates/steering/tests/queue_delay.rs
@@ -4,15 +4,15 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::Millis;
-use weirhinge_steering::{AdmissionRate, CallerRank, caller_rank, may_wait};
+use weirhinge_steering::{AdmissionRate, ClientRank, client_rank, may_wait};
 
 /// Part of a client's objective that is left for waiting.
 const BUDGET_MS: Millis = 200;
 /// Openings admitted per second.
 const CAPACITY: u64 = 400;
 const CLIENTS: u32 = 1_000;
-const FIRST: CallerRank = CallerRank::SERVED_FIRST;
-const LAST: CallerRank = CallerRank::REFUSED_FIRST;
+const FIRST: ClientRank = ClientRank::SERVED_FIRST;
+const LAST: ClientRank = ClientRank::REFUSED_FIRST;
 
 /// Outcome of one opening.
 #[derive(Clone, Copy, Debug)]
@@ -100,8 +100,8 @@
 }
 
 /// The client's rank at a fixed time, so that all clients are in one epoch.
-fn rank(client: u32) -> CallerRank {
-    caller_rank(Ipv4Addr::from_bits(0x0a01_0000 + client), 0)
+fn rank(client: u32) -> ClientRank {
+    client_rank(Ipv4Addr::from_bits(0x0a01_0000 + client), 0)
 }
 
 /// Admits openings at a steady interval. Returns the time of the last admission.
--- a/crates/steering/tests/restarted_targets.rs
+++ b/crates/steering/tests/restarted_targets.rs
@@ -56,8 +56,8 @@
 fn waiting_openings_stay_queued_across_restart() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(60));
-    let waiting = Arrival { may_wait: true, ..arrival(&head) };
+    let header = opening(flow(60));
+    let waiting = Arrival { may_wait: true, ..arrival(&header) };
     assert!(matches!(agent.delivery(&waiting, 5), DeliveryDecision::Wait { .. }));
     agent.target_restarted();
     agent.set_slots(4);
@@ -93,7 +93,7 @@
     store.restart_target(1, SERVICE, LATER + 10);
     store.restart_target(2, SERVICE, LATER + 10);
     fixture.view = store.view();
-    let (visited, end) = fixture.bounce_to_the_end(&data(flow(5)), LATER + 20);
+    let (visited, end) = fixture.bounce_until_search_ends(&data(flow(5)), LATER + 20);
     assert_eq!(visited[0], holder);
     assert_eq!(visited.len(), 2, "each target was searched once");
     assert!(!matches!(end, Decision::Forward(_)));
--- a/crates/steering/tests/service_time.rs
+++ b/crates/steering/tests/service_time.rs
@@ -91,11 +91,11 @@
         deliver(&mut agent, &request(port, 0), now);
     }
     assert!(service_ms(&agent, now + 400) >= Some(100), "{:?}", agent.load(now + 400));
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(agent.delivery(&arrival(&head), now + 600), busy);
+    assert_eq!(agent.delivery(&arrival(&header), now + 600), busy);
     // A flow that found no better target is admitted: some target has to take it.
-    let mut may_wait = arrival(&head);
+    let mut may_wait = arrival(&header);
     may_wait.may_wait = true;
     assert!(matches!(agent.delivery(&may_wait, now + 600), DeliveryDecision::Deliver { .. }));
 }
@@ -163,7 +163,7 @@
 fn target_at_its_limit_returns_openings() {
     let mut agent = new_agent();
     fill(&mut agent);
-    let head = opening(flow(50));
+    let header = opening(flow(50));
     let busy = DeliveryDecision::Return(ReturnReason::Busy);
-    assert_eq!(agent.delivery(&arrival(&head), 1), busy);
+    assert_eq!(agent.delivery(&arrival(&header), 1), busy);
 }
--- a/crates/steering/tests/support/grant_requests.rs
+++ b/crates/steering/tests/support/grant_requests.rs
@@ -46,9 +46,9 @@
     remaining: OpeningDemand,
     now: Millis,
 ) -> DeliveryDecision {
-    let head = opening(flow(port));
+    let header = opening(flow(port));
     let granted = Some(remaining);
-    let answer = Arrival { balancer: balancer(number), granted, ..arrival(&head) };
+    let answer = Arrival { balancer: balancer(number), granted, ..arrival(&header) };
     agent.delivery(&answer, now)
 }
 
--- a/crates/steering/tests/support/queue.rs
+++ b/crates/steering/tests/support/queue.rs
@@ -4,8 +4,8 @@
 
 use weirhinge_fleet::{ReturnReason, Route, ServiceId, TargetLoad};
 use weirhinge_steering::{
-    CapacityGrant, CapacityRequest, Context, Decision, FlowKey, GrantOutcome, PacketHead,
-    ResetReason, ResolvedOpening, caller_rank,
+    CapacityGrant, CapacityRequest, Context, Decision, FlowKey, GrantOutcome, PacketHeader,
+    ResetReason, ResolvedOpening, client_rank,
 };
 
 use super::{Fixture, SERVICE, Store, agent, endpoint, forwarded, opening, route_to};
@@ -45,7 +45,7 @@
 pub fn top_ranked_flows(count: usize) -> Vec<FlowKey> {
     let addresses = (1..).map(client_address);
     let addresses =
-        addresses.filter(|client_address| caller_rank(*client_address, 0).value() < 4_096);
+        addresses.filter(|client_address| client_rank(*client_address, 0).value() < 4_096);
     addresses.take(count).map(flow_from).collect()
 }
 
@@ -54,8 +54,8 @@
 }
 
 /// The opening packet's retransmission with this number.
-pub fn retransmission(flow: FlowKey, number: u32) -> PacketHead {
-    PacketHead { acknowledgment: number, ..opening(flow) }
+pub fn retransmission(flow: FlowKey, number: u32) -> PacketHeader {
+    PacketHeader { acknowledgment: number, ..opening(flow) }
 }
 
 pub fn is_overloaded(decision: &Decision) -> bool {
@@ -68,17 +68,17 @@
 
 /// The flow that used a grant.
 pub fn granted_flow(answer: &GrantOutcome) -> Option<FlowKey> {
-    answer.granted.as_ref().map(|opening| opening.head.client_flow())
+    answer.granted.as_ref().map(|opening| opening.header.client_flow())
 }
 
 impl Fixture {
     /// Opens a flow while no target has capacity.
     pub fn open_without_capacity(&mut self, flow: FlowKey, now: u64) -> Decision {
-        let head = opening(flow);
-        match self.client(&head, now) {
+        let header = opening(flow);
+        match self.client(&header, now) {
             Decision::Forward(forward) => {
-                self.balancer.heard(forward.agent, 0, now);
-                self.returned(&head, forward.agent, ReturnReason::Busy, now)
+                self.balancer.note_answer(forward.agent, 0, now);
+                self.returned(&header, forward.agent, ReturnReason::Busy, now)
             }
             other => other,
         }
@@ -110,7 +110,7 @@
         let remaining = forwarded(&granted.decision)
             .granted
             .expect("a granted opening reports the remaining demand");
-        Some((granted.head.client_flow(), remaining.others.count))
+        Some((granted.header.client_flow(), remaining.others.count))
     }
 
     pub fn refuse_overdue(&mut self, now: u64) -> Vec<ResolvedOpening> {
