--- a/crates/relay/tests/fleet_node.rs
+++ b/crates/relay/tests/fleet_node.rs
@@ -217,7 +217,7 @@
     reader.apply_from_store(evacuation(2, 7), now);
     let mut other = serving(machine(9), now);
     let reaction = other.on_digest(&reader.digest(false, now), now + 1);
-    assert!(other.view().evacuated_count() == 1 && reaction.propagate);
+    assert!(other.view().evacuated_zone_count() == 1 && reaction.propagate);
     let again = other.on_digest(&reader.digest(false, now), now + 2);
     assert!(!again.propagate, "propagated once");
     // An agent of the zone gets a reply and then knows of the evacuation.
@@ -231,5 +231,5 @@
     // A restarted balancer learns of it from that agent.
     let mut restarted = node(machine(8), PeerRole::Balancer);
     restarted.on_digest(&agent.digest(false, 200), 50);
-    assert_eq!(restarted.view().evacuated_count(), 1);
+    assert_eq!(restarted.view().evacuated_zone_count(), 1);
 }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,29 +1,29 @@
-//! Decides where each packet goes when the targets end the flows themselves.
+//! Steers the packets of flows to the targets of a service.
 //!
-//! Pure logic: packets, messages and times are passed in, decisions come out.
-//! The target is the truth about its flows: it sends back what it does not hold.
-//! A [`Balancer`] picks a target for an opening packet, remembers it, and walks
-//! through the other targets when a packet comes back; an [`Agent`] stands beside
-//! one target, checks that a packet is meant for it, and tells balancers what its
-//! target holds. Nothing here outlives the process, and nothing needs to.
+//! The crate is pure logic: packets, messages and times are passed in, decisions are returned. Only
+//! a target knows for certain which flows it holds; it bounces packets of any other flow. A
+//! [`Balancer`] selects a target for an opening packet, remembers the choice, and searches the
+//! other targets when a packet is returned. An [`Agent`] is co-located with one target, checks that
+//! each packet is meant for it, and reports to balancers what the target holds. All state is in
+//! memory and is rebuilt after a restart.
 
 mod agent;
 mod agent_status;
 mod arrival;
 mod balancer;
-mod caller_rank;
 mod class_share;
+mod client_rank;
 mod expected_time;
 mod flow_table;
 mod overload;
 mod packet;
+mod pending_openings;
 mod pending_packets;
 mod route_history;
 mod search_budget;
 mod search_outcomes;
 mod selection;
 mod view;
-mod waiting_room;
 
 pub use agent::{
     Agent, BreakerChange, ColdStartRate, DeliveryDecision, Grant, HoldsNotice, OutputDecision,
@@ -32,13 +32,15 @@
 pub use agent_status::AgentStatuses;
 pub use arrival::Arrival;
 pub use balancer::{
-    AdmissionRate, Balancer, BalancerLimits, CallerShares, ClientPacket, Context, Decision,
-    DropReason, Forward, ForwardReason, GrantAnswer, QueueInputs, ResetReason, RoomGrant,
-    RoomRequest, SelectionInputs, SettledOpening, may_wait,
+    AdmissionRate, Balancer, BalancerLimits, CapacityGrant, CapacityRequest, ClientPacket,
+    ClientShares, Context, Decision, DropReason, Forward, ForwardReason, GrantOutcome, QueueInputs,
+    ResetReason, ResolvedOpening, SelectionInputs, may_wait,
 };
-pub use caller_rank::{CallerRank, RANK_EPOCH_MS, caller_rank};
+pub use client_rank::{ClientRank, RANK_EPOCH_MS, client_rank};
 pub use flow_table::{FlowEntry, FlowStage, FlowTable};
 pub use overload::{OverloadMonitor, PeerLoad};
-pub use packet::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHead};
-pub use view::{Candidate, Distance, FleetView, Locality, RouteChoice, Standing, VersionLabel};
-pub use waiting_room::WaitedOpening;
+pub use packet::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHeader};
+pub use pending_openings::PendingOpening;
+pub use view::{
+    Availability, Candidate, CompiledRoute, Distance, FleetView, Locality, VersionLabel,
+};
