--- a/crates/steering/src/balancer/mod.rs
+++ b/crates/steering/src/balancer/mod.rs
@@ -14,7 +14,7 @@
 
 use std::net::Ipv4Addr;
 
-use weirhinge_fleet::{Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, Timing, ZoneId};
+use weirhinge_fleet::{Millis, ReturnReason, ServiceId, TargetLoad, TargetStatus, Timing, ZoneId};
 
 pub use client_shares::ClientShares;
 pub use decision::{
@@ -242,7 +242,7 @@
         &mut self,
         agent: Ipv4Addr,
         zone: ZoneId,
-        status: &TargetClaim,
+        status: &TargetStatus,
         now: Millis,
     ) {
         self.statuses.note_target_status(agent, zone, status, now);
@@ -367,7 +367,7 @@
     /// Whether targets without a record may still be alive, because the store's data became fresh
     /// only recently.
     fn is_settling(&self, now: Millis) -> bool {
-        now < self.store_fresh_at + self.timing.settle_ms
+        now < self.store_fresh_at + self.timing.renewal_grace_ms
     }
 
     fn assign_agent(&mut self, flow: FlowKey, agent: Ipv4Addr, stage: FlowStage, now: Millis) {
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -8,7 +8,7 @@
 use support::agent_fixture::{answer, arrival, output};
 use support::{Fixture, LATER, SERVICE, Store, agent, claim, data, flow, opening};
 use weirhinge_fleet::{
-    ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetClaim, TargetLoad, TargetState, ZoneId,
+    ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetLoad, TargetState, TargetStatus, ZoneId,
 };
 use weirhinge_steering::{Agent, Decision, DeliveryDecision, Flags, FlowKey, WaitOutcome};
 
@@ -120,7 +120,7 @@
             }
         }
         if (now + number as u64 * 70).is_multiple_of(DIGEST_MS) {
-            let claim = TargetClaim { load: self.load(number), ..claim(SERVICE) };
+            let claim = TargetStatus { load: self.load(number), ..claim(SERVICE) };
             let address = agent(number as u8 + 1);
             self.fixture.balancer.note_target_status(address, ZoneId::of("a"), &claim, now);
         }
@@ -251,7 +251,7 @@
     for port in 0..400 {
         let now = LATER + Millis::from(port) * 10_000;
         for (number, load) in reports {
-            let claim = TargetClaim { load: *load, ..claim(SERVICE) };
+            let claim = TargetStatus { load: *load, ..claim(SERVICE) };
             fixture.balancer.note_target_status(agent(*number), ZoneId::of("a"), &claim, now - age);
             fixture.balancer.note_answer(agent(*number), *load, now - age);
         }
--- a/crates/steering/tests/former_flow_reports.rs
+++ b/crates/steering/tests/former_flow_reports.rs
@@ -11,7 +11,7 @@
     Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, fleet_agent, flow,
     opening, paths,
 };
-use weirhinge_fleet::{Route, RoutePart, TargetClaim, TargetState, ZoneId};
+use weirhinge_fleet::{Route, RoutePart, TargetState, TargetStatus, ZoneId};
 use weirhinge_steering::{
     Agent, Arrival, Decision, DeliveryDecision, Flags, FleetView, OutputDecision, PacketHeader,
 };
@@ -160,7 +160,7 @@
 }
 
 fn report(fixture: &mut Fixture, agent: Ipv4Addr, without: Option<u64>, now: u64) {
-    let claim = TargetClaim { without_former_flows: without, ..claim(OTHER) };
+    let claim = TargetStatus { without_former_flows: without, ..claim(OTHER) };
     fixture.balancer.note_target_status(agent, ZoneId::of("a"), &claim, now);
 }
 
