--- a/crates/weirhinge/src/cli/agent.rs
+++ b/crates/weirhinge/src/cli/agent.rs
@@ -1,4 +1,4 @@
-//! `weirhinge agent`.
+//! `weirhinge agent`: runs an agent.
 
 use pico_args::Arguments;
 use weirhinge_agent::Plant;
@@ -7,20 +7,20 @@
 use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
 
 const USAGE: &str = "\
-weirhinge agent: stand beside one back end and hold its flows
+weirhinge agent: run next to one back end and terminate its flows
 
 USAGE:
   weirhinge agent [OPTIONS]
 
 OPTIONS:
-  --target ID                Identifier of the target that this agent stands beside
-  --fabric IP:PORT           UDP address of the fabric, for answers
-  --half-open-limit N        Most flows opening at once  [default: 256]
-  --candidates N             Targets compared per new flow, 1 to 8  [default: 3]
-  --stop-deadline-seconds N  Longest wait for open flows after SIGTERM  [default: none]
+  --target ID                Identifier of the target that this agent serves
+  --fabric IP:PORT           UDP address of the fabric, for replies to clients
+  --half-open-limit N        Maximum number of half-open flows  [default: 256]
+  --candidates N             Candidate targets compared per new flow, 1 to 8  [default: 3]
+  --stop-deadline-seconds N  Maximum wait for open flows after SIGTERM  [default: none]
 ";
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}{COMMON_OPTIONS}");
--- a/crates/weirhinge/src/cli/balancer.rs
+++ b/crates/weirhinge/src/cli/balancer.rs
@@ -1,4 +1,4 @@
-//! `weirhinge balancer`.
+//! `weirhinge balancer`: runs a balancer.
 
 use pico_args::Arguments;
 
@@ -6,7 +6,7 @@
 use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
 
 const USAGE: &str = "\
-weirhinge balancer: take packets from the fabric and send each to an agent
+weirhinge balancer: forward packets from the fabric to agents
 
 USAGE:
   weirhinge balancer [OPTIONS]
@@ -14,12 +14,12 @@
 OPTIONS:
   --control IP:PORT          TCP address for other balancers  [default: 127.0.0.1:0]
   --api IP:PORT              TCP address of the resource API, loopback only  [default: 127.0.0.1:0]
-  --peers IP:PORT,...        Control addresses of other balancers, for when the platform is away
-  --found-group              Found a group if none is found; on one balancer, once
-  --batch N                  Most packets per system call, 1 to 256  [default: 32]
+  --peers IP:PORT,...        Control addresses of other balancers, used when the platform is down
+  --found-group              Found a group if none exists; set on one balancer, once
+  --batch N                  Maximum packets per system call, 1 to 256  [default: 32]
 ";
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}{COMMON_OPTIONS}");
--- a/crates/weirhinge/src/cli/check.rs
+++ b/crates/weirhinge/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `weirhinge check`.
+//! `weirhinge check`: validates a file.
 
 use pico_args::Arguments;
 use weirhinge_config::parse::{self, ConfigError};
@@ -7,20 +7,20 @@
 use weirhinge_relay::RawSettings as RelaySettings;
 
 use super::CliFailure;
-use super::daemon::refuse_rest;
+use super::daemon::reject_remaining;
 
 const USAGE: &str = "\
-weirhinge check: check a file without starting anything
+weirhinge check: validate a file without starting a daemon
 
 USAGE:
   weirhinge check FILE
 
 FILE is a configuration document (TOML, or JSON if its name ends in .json), a
-settings file of a balancer or an agent, of either in relay mode, or a keys file;
-its fields tell which.
+settings file of a balancer or an agent, with or without relay mode, or a keys
+file. Its kind is detected from its fields.
 ";
 
-/// What a file turned out to be.
+/// Kind of a file, as detected from its fields.
 #[derive(Debug, PartialEq, Eq)]
 enum FileKind {
     Document,
@@ -31,7 +31,7 @@
     RelayBalancerSettings,
 }
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}");
@@ -39,8 +39,8 @@
     }
     let file: String = arguments
         .free_from_str()
-        .map_err(|_| CliFailure::usage(format!("no file given\n\n{USAGE}")))?;
-    refuse_rest(arguments)?;
+        .map_err(|_| CliFailure::usage(format!("expected a file\n\n{USAGE}")))?;
+    reject_remaining(arguments)?;
     let summary = check_file(&file).map_err(CliFailure::usage)?;
     println!("{file}: {summary}");
     Ok(())
@@ -49,11 +49,12 @@
 fn check_file(file: &str) -> Result<String, ConfigError> {
     let text = parse::read_file(file)?;
     if file.ends_with(".json") {
-        return ConfigDocument::from_json(file, text.as_bytes()).map(|document| summary(&document));
+        return ConfigDocument::from_json(file, text.as_bytes())
+            .map(|document| document_summary(&document));
     }
-    match file_kind(&text) {
+    match detect_file_kind(&text) {
         FileKind::Document => {
-            ConfigDocument::from_toml(file, &text).map(|document| summary(&document))
+            ConfigDocument::from_toml(file, &text).map(|document| document_summary(&document))
         }
         FileKind::Keys => Keys::from_toml(file, &text).map(|_| "valid keys file".to_owned()),
         FileKind::AgentSettings => parse::from_toml::<RawSettings>(file, &text)?
@@ -71,7 +72,7 @@
     }
 }
 
-fn summary(document: &ConfigDocument) -> String {
+fn document_summary(document: &ConfigDocument) -> String {
     format!(
         "valid configuration document, revision {}, {} services, {} targets",
         document.revision,
@@ -80,25 +81,25 @@
     )
 }
 
-/// Tells the kinds of file apart by one field that only one of them has.
-fn file_kind(text: &str) -> FileKind {
-    let has = |field: &str| {
+/// Detects the kind of a file by fields that only this kind has.
+fn detect_file_kind(text: &str) -> FileKind {
+    let has_field = |field: &str| {
         text.lines().any(|line| {
             let line = line.trim_start();
             line.strip_prefix(field).is_some_and(|rest| rest.trim_start().starts_with('='))
         })
     };
-    if has("peer_port") || has("readiness") {
-        return match has("target") || has("target_output") {
+    if has_field("peer_port") || has_field("readiness") {
+        return match has_field("target") || has_field("target_output") {
             true => FileKind::RelayAgentSettings,
             false => FileKind::RelayBalancerSettings,
         };
     }
-    if has("revision") || text.contains("[[services]]") || text.contains("[[targets]]") {
+    if has_field("revision") || text.contains("[[services]]") || text.contains("[[targets]]") {
         FileKind::Document
-    } else if has("flow_hash") {
+    } else if has_field("flow_hash") {
         FileKind::Keys
-    } else if has("target") || has("fabric") {
+    } else if has_field("target") || has_field("fabric") {
         FileKind::AgentSettings
     } else {
         FileKind::BalancerSettings
--- a/crates/weirhinge/src/cli/client.rs
+++ b/crates/weirhinge/src/cli/client.rs
@@ -1,5 +1,4 @@
-//! The operators' commands: they write desired state to any balancer's API and
-//! read it back.
+//! The operator commands: they read and write the desired state through the API of any balancer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,50 +11,50 @@
 use weirhinge_document_source::{Answer, CONFIGURATION_PATH, send};
 
 use super::CliFailure;
-use super::daemon::{option, refuse_rest};
+use super::daemon::{option, reject_remaining};
 
-/// Help text of the operators' commands.
+/// Help text of the operator commands.
 pub const USAGE: &str = "\
-weirhinge get | status | apply FILE | drain TARGET | activate TARGET: talk to a balancer's API
+weirhinge get | status | apply FILE | drain TARGET | activate TARGET: call a balancer's API
 
 USAGE:
   weirhinge get --api IP:PORT               Print the agreed configuration (JSON)
-  weirhinge status --api IP:PORT            Print the balancer's view of the group (JSON)
-  weirhinge apply FILE --api IP:PORT        Replace the configuration by a document
-  weirhinge drain TARGET --api IP:PORT      Let a target take no new flow
-  weirhinge activate TARGET --api IP:PORT   Let a target take new flows again
+  weirhinge status --api IP:PORT            Print the balancer's view of the balancer group (JSON)
+  weirhinge apply FILE --api IP:PORT        Replace the configuration with a document
+  weirhinge drain TARGET --api IP:PORT      Stop sending new flows to a target
+  weirhinge activate TARGET --api IP:PORT   Send new flows to a target again
 
 OPTIONS:
-  --key KEY        Idempotency key of a write: repeated with it, a write is not run again
-  --revision N     Apply only if this revision is in force
+  --key KEY        Idempotency key: a write that is repeated with the same key runs once
+  --revision N     Apply only if this is the current revision
   -h, --help       Show this help
 
-What 'get' prints can be kept by the platform as the document to start from.
-A refusal says 'not applied', or 'unknown' if the write may hold: then repeat it
-with the same key.
+The platform can store the output of 'get' as the initial document. The error of a
+rejected write says 'not applied'; if it says 'unknown', the write may have been
+applied: repeat it with the same key.
 ";
 
-/// Longest wait for a balancer's answer.
-const TIMEOUT: Duration = Duration::from_secs(10);
-/// Path of the group's status.
+/// Maximum wait for a response of the API.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// API path of the balancer group's status.
 const STATUS_PATH: &str = "/v1/status";
 
-struct Client {
+struct ApiClient {
     api: SocketAddr,
     key: Option<String>,
     revision: Option<u64>,
 }
 
-/// Runs one of the operators' commands.
+/// Runs the operator command of this name.
 pub fn run(command: &str, mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}");
         return Ok(());
     }
     let api = option(&mut arguments, "--api")?.ok_or_else(|| {
-        CliFailure::usage("--api: expected a balancer's API, such as 127.0.0.1:7002")
+        CliFailure::usage("--api: expected the address of a balancer's API, such as 127.0.0.1:7002")
     })?;
-    let client = Client {
+    let client = ApiClient {
         api,
         key: option(&mut arguments, "--key")?,
         revision: option(&mut arguments, "--revision")?,
@@ -64,7 +63,7 @@
         "apply" | "drain" | "activate" => Some(read_operand(command, &mut arguments)?),
         _ => None,
     };
-    refuse_rest(arguments)?;
+    reject_remaining(arguments)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -78,10 +77,10 @@
 fn read_operand(command: &str, arguments: &mut Arguments) -> Result<String, CliFailure> {
     arguments
         .free_from_str()
-        .map_err(|_| CliFailure::usage(format!("{command}: expected an operand\n\n{USAGE}")))
+        .map_err(|_| CliFailure::usage(format!("{command}: expected a file or target\n\n{USAGE}")))
 }
 
-impl Client {
+impl ApiClient {
     async fn execute(&self, command: &str, operand: Option<&str>) -> Result<String, CliFailure> {
         match (command, operand) {
             ("get", _) => self.read(CONFIGURATION_PATH).await,
@@ -103,15 +102,15 @@
         self.write(Request::put(CONFIGURATION_PATH), &document, self.revision).await
     }
 
-    /// Reads the target, changes its state, and writes it back on condition that
-    /// nothing has changed meanwhile.
+    /// Reads a target, changes its state and writes it back. The write is conditional on the
+    /// revision that was read, so a concurrent change is never overwritten.
     async fn set_state(&self, name: &str, state: TargetState) -> Result<String, CliFailure> {
         let text = self.read(CONFIGURATION_PATH).await?;
         let document = ConfigDocument::from_json("configuration", text.as_bytes())
             .map_err(CliFailure::usage)?;
-        let is_meant = |target: &&Target| target.name == name || target.id.0.to_string() == name;
-        let known = document.targets.iter().find(is_meant);
-        let mut target = known.cloned().ok_or_else(|| {
+        let matches = |target: &&Target| target.name == name || target.id.0.to_string() == name;
+        let found = document.targets.iter().find(matches);
+        let mut target = found.cloned().ok_or_else(|| {
             CliFailure::usage(format!("target {name:?}: not in the configuration"))
         })?;
         target.state = state;
@@ -135,13 +134,14 @@
         if let Some(revision) = revision {
             request = request.header("if-match", format!("\"{revision}\""));
         }
-        let body =
-            serde_json::to_vec(value).wrap_err("encode the write").map_err(CliFailure::Runtime)?;
+        let body = serde_json::to_vec(value)
+            .wrap_err("encode the request body")
+            .map_err(CliFailure::Runtime)?;
         self.exchange(request, body).await
     }
 
     async fn exchange(&self, request: Builder, body: Vec<u8>) -> Result<String, CliFailure> {
-        let Answer { status, body, .. } = send(self.api, request, body.into(), TIMEOUT)
+        let Answer { status, body, .. } = send(self.api, request, body.into(), RESPONSE_TIMEOUT)
             .await
             .map_err(|error| CliFailure::Runtime(error.into()))?;
         let text = String::from_utf8_lossy(&body).into_owned();
--- a/crates/weirhinge/src/cli/daemon.rs
+++ b/crates/weirhinge/src/cli/daemon.rs
@@ -1,5 +1,5 @@
-//! What both daemons do alike: read flags and settings, log, start the runtime
-//! and wait for a signal.
+//! Code shared by the balancer and agent daemons: reading flags and settings, logging, starting
+//! the runtime and waiting for a stop signal.
 
 use std::io::Write;
 
@@ -12,37 +12,37 @@
 
 use super::CliFailure;
 
-/// Name that stands for the flags in errors.
+/// Origin named in errors about settings when no settings file is given.
 pub const COMMAND_LINE: &str = "command line";
 
-/// Help text of the options that both daemons take.
+/// Help text of the options that both daemons accept.
 pub const COMMON_OPTIONS: &str = "\
-\x20 --settings FILE            Settings file (TOML); flags win over it
+\x20 --settings FILE            Settings file (TOML); flags override it
   --name NAME                Name shown in logs and health
-  --zone ZONE                Zone that the process runs in
+  --zone ZONE                Zone in which the process runs
   --listen IP:PORT           UDP address of the data path  [default: 127.0.0.1:0]
   --admin IP:PORT            TCP address of /health and /metrics  [default: 127.0.0.1:0]
   --platform IP:PORT         TCP address of the platform's configuration service
-  --keys-file FILE           Keys file (TOML) with flow_hash, 32 hexadecimal digits
+  --keys-file FILE           Keys file (TOML) that sets flow_hash to 32 hexadecimal digits
   --log-format FORMAT        terminal or json  [default: terminal]
   --log-level LEVEL          critical, error, warning, info, debug or trace  [default: info]
   -h, --help                 Show this help
 ";
 
-/// The command line of a daemon, read.
+/// The parsed command line of a daemon.
 pub struct DaemonOptions {
-    /// Settings from the file with the flags laid over them.
+    /// Settings from the file, overridden by the flags.
     pub settings: RawSettings,
-    /// Name of the settings' origin for errors.
+    /// Where the settings came from, for errors: the settings file or [`COMMAND_LINE`].
     pub origin: String,
-    /// How to log.
+    /// Format and level of the log.
     pub log: LogOptions,
 }
 
-/// Reads the options that both daemons take, then lets `role` read its own.
+/// Reads the options that both daemons accept and calls `read_role_options` for those of one role.
 pub fn read_options(
     mut arguments: Arguments,
-    role: impl FnOnce(&mut Arguments, &mut RawSettings) -> Result<(), CliFailure>,
+    read_role_options: impl FnOnce(&mut Arguments, &mut RawSettings) -> Result<(), CliFailure>,
 ) -> Result<DaemonOptions, CliFailure> {
     let file: Option<String> = option(&mut arguments, "--settings")?;
     let mut flags = RawSettings {
@@ -54,9 +54,9 @@
         keys_file: option(&mut arguments, "--keys-file")?,
         ..RawSettings::default()
     };
-    role(&mut arguments, &mut flags)?;
+    read_role_options(&mut arguments, &mut flags)?;
     let log = read_log_options(&mut arguments)?;
-    refuse_rest(arguments)?;
+    reject_remaining(arguments)?;
     let from_file = match &file {
         Some(path) => RawSettings::from_file(path).map_err(CliFailure::usage)?,
         None => RawSettings::default(),
@@ -83,7 +83,7 @@
     Ok(options)
 }
 
-/// Reads one optional flag with a value.
+/// Reads an optional flag with a value.
 pub fn option<T>(arguments: &mut Arguments, name: &'static str) -> Result<Option<T>, CliFailure>
 where
     T: std::str::FromStr,
@@ -94,18 +94,18 @@
         .map_err(|error| CliFailure::usage(format!("{name}: {error}")))
 }
 
-/// Refuses arguments that nothing has read.
-pub fn refuse_rest(arguments: Arguments) -> Result<(), CliFailure> {
+/// Fails if arguments remain that nothing has read.
+pub fn reject_remaining(arguments: Arguments) -> Result<(), CliFailure> {
     match arguments.finish().first() {
         None => Ok(()),
         Some(unknown) => {
             let unknown = unknown.to_string_lossy();
-            Err(CliFailure::usage(format!("argument {unknown:?}: not known, see --help")))
+            Err(CliFailure::usage(format!("argument {unknown:?}: unknown, see --help")))
         }
     }
 }
 
-/// Starts the runtime and runs a daemon in it until it ends.
+/// Starts the logger and the runtime, and runs a daemon in them until it returns.
 pub fn run_daemon<F, Fut>(log: LogOptions, daemon: F) -> Result<(), CliFailure>
 where
     F: FnOnce(Logger, StopSignal) -> Fut,
@@ -123,16 +123,16 @@
         let stop = StopSignal::new()?;
         daemon(logger, stop).await
     });
-    // Tasks of cut flows must not hold the process up.
+    // Tasks of flows that were cut off must not delay the process's exit.
     runtime.shutdown_background();
     logging.finish();
     result.map_err(CliFailure::Runtime)
 }
 
-/// Threads of a daemon's runtime: many small machines, few cores each.
+/// Threads of a daemon's runtime. Deployments have many small machines with few cores each.
 const WORKER_THREADS: usize = 2;
 
-/// Waits for SIGTERM or SIGINT, either of which begins a planned stop.
+/// Waits for SIGTERM or SIGINT, either of which starts a graceful shutdown.
 pub struct StopSignal {
     terminate: Signal,
     interrupt: Signal,
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Completes at the first signal.
+    /// Returns at the first signal.
     pub async fn wait(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -155,12 +155,12 @@
     }
 }
 
-/// Tells whoever started the process, by one line of JSON on standard output,
-/// that it is ready and where.
+/// Reports readiness and the bound addresses to the parent process, as one line of JSON on
+/// standard output.
 pub fn print_ready(addresses: BoundAddresses) {
     let mut output = std::io::stdout().lock();
-    // Addresses always have a JSON form.
+    // Serializing addresses cannot fail.
     let line = serde_json::json!({ "ready": addresses });
-    // Nobody may be reading; the daemon runs all the same.
+    // Standard output may be closed; the daemon runs regardless.
     let _ = writeln!(output, "{line}").and_then(|()| output.flush());
 }
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `weirhinge explain`.
+//! `weirhinge explain`: shows what happened to one subject, from logs.
 
 use std::io::Read;
 use std::time::{Duration, UNIX_EPOCH};
@@ -10,10 +10,10 @@
 
 use super::CliFailure;
 use super::daemon::option;
-use super::log_files::files;
+use super::log_files::read_file_names;
 
 const USAGE: &str = "\
-weirhinge explain: tell from logs what happened
+weirhinge explain: show from logs what happened
 
 USAGE:
   weirhinge explain --request ID [FILE...]
@@ -23,21 +23,21 @@
                     [FILE...]
 
 Reads the logs of any number of machines, from files or standard input, and
-prints the lines about the subject in order of time. Differences between the
-machines' clocks are estimated from the lines and corrected. Lines that cannot
-be read are counted.
+prints the lines about the subject in order of time. Clock differences between
+machines are estimated from the lines and corrected. Lines that cannot be read
+are counted.
 
 The timeline counts the lines of each kind in intervals of --every milliseconds
-(1000), tells of daemons that started together and what came after, names daemons
-that served nothing while others did, and how long steps took. Times are seconds
-from the first line; --from and --to limit them. It reads any amount of lines in
-bounded memory.
+(default: 1000). It reports daemons that started together and what followed,
+daemons that served nothing while others did, and how long steps took. Times are
+in seconds since the first line; --from and --to limit the range. Memory use does
+not grow with the number of lines.
 ";
 
-/// Fields that every line has, or that its head already shows.
-const SHOWN_IN_HEAD: [&str; 6] = ["ts", "level", "node", "event", "msg", "up_ms"];
+/// Fields that the start of a printed line shows already, or that every line has.
+const HEADER_FIELDS: [&str; 6] = ["ts", "level", "node", "event", "msg", "up_ms"];
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}");
@@ -47,14 +47,14 @@
         return super::timeline::run(arguments);
     }
     let subject = read_subject(&mut arguments)?;
-    let files = files(arguments)?;
-    let mut story = Story::default();
-    read_logs(&files, &mut story).map_err(CliFailure::Runtime)?;
-    let told = story.tell(&subject);
-    for line in &told {
+    let files = read_file_names(arguments)?;
+    let mut logs = Story::default();
+    read_logs(&files, &mut logs).map_err(CliFailure::Runtime)?;
+    let lines = logs.tell(&subject);
+    for line in &lines {
         println!("{}", format_line(line));
     }
-    print_summary(&story, told.len());
+    print_summary(&logs, lines.len());
     Ok(())
 }
 
@@ -72,39 +72,39 @@
     }
 }
 
-fn read_logs(files: &[String], story: &mut Story) -> eyre::Result<()> {
+fn read_logs(files: &[String], logs: &mut Story) -> eyre::Result<()> {
     if files.is_empty() {
         let mut bytes = Vec::new();
         std::io::stdin().read_to_end(&mut bytes).wrap_err("read standard input")?;
-        story.read(&String::from_utf8_lossy(&bytes));
+        logs.read(&String::from_utf8_lossy(&bytes));
     }
     for file in files {
         let bytes = std::fs::read(file).wrap_err_with(|| format!("read {file}"))?;
-        story.read(&String::from_utf8_lossy(&bytes));
+        logs.read(&String::from_utf8_lossy(&bytes));
     }
     Ok(())
 }
 
-fn format_line(told: &StoryLine) -> String {
-    let since = Duration::from_millis(u64::try_from(told.at_ms).unwrap_or(0));
-    let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since);
-    let fields = told.line.fields.iter();
+fn format_line(line: &StoryLine) -> String {
+    let since_epoch = Duration::from_millis(u64::try_from(line.at_ms).unwrap_or(0));
+    let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since_epoch);
+    let fields = line.line.fields.iter();
     let fields: Vec<String> = fields
-        .filter(|(name, value)| !SHOWN_IN_HEAD.contains(&name.as_str()) && !value.is_null())
+        .filter(|(name, value)| !HEADER_FIELDS.contains(&name.as_str()) && !value.is_null())
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         })
         .collect();
-    format!("{time} {:<28} {:<14} {}", told.line.node, told.line.event, fields.join(" "))
+    format!("{time} {:<28} {:<14} {}", line.line.node, line.line.event, fields.join(" "))
 }
 
-fn print_summary(story: &Story, told: usize) {
-    let offsets = story.clock_offsets();
+fn print_summary(logs: &Story, line_count: usize) {
+    let offsets = logs.clock_offsets();
     let largest = offsets.iter().max_by_key(|(_, offset)| offset.abs());
     let clocks = largest.map_or_else(
-        || "no clock differs".to_owned(),
+        || "no clock differences".to_owned(),
         |(node, offset)| format!("largest clock difference corrected: {offset} ms at {node}"),
     );
-    println!("{told} lines; {clocks}; {} lines could not be read", story.unreadable());
+    println!("{line_count} lines; {clocks}; {} lines could not be read", logs.unreadable());
 }
--- a/crates/weirhinge/src/cli/failure.rs
+++ b/crates/weirhinge/src/cli/failure.rs
@@ -1,29 +1,29 @@
-//! How a command ends when it fails.
+//! The error type of all subcommands and its exit codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// Exit code for a failure while running.
+/// Exit code for a runtime failure.
 const EXIT_RUNTIME: u8 = 1;
-/// Exit code for a command line, settings or document that cannot be used.
+/// Exit code for an invalid command line, settings file or document.
 const EXIT_USAGE: u8 = 2;
 
-/// A failed command.
+/// Why a subcommand failed.
 #[derive(Debug)]
 pub enum CliFailure {
-    /// What the user gave cannot be used.
+    /// The command line or a file that it names is invalid.
     Usage(String),
-    /// Something failed while running.
+    /// The command was valid but failed at run time.
     Runtime(eyre::Report),
 }
 
 impl CliFailure {
-    /// A failure of what the user gave.
+    /// Returns a usage failure with this reason.
     pub fn usage(reason: impl ToString) -> Self {
         CliFailure::Usage(reason.to_string())
     }
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CliFailure::Usage(_) => EXIT_USAGE,
@@ -36,7 +36,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CliFailure::Usage(reason) => formatter.write_str(reason),
-            // The alternate form prints the whole chain of causes on one line.
+            // The alternate form prints the whole error chain on one line.
             CliFailure::Runtime(report) => write!(formatter, "{report:#}"),
         }
     }
--- a/crates/weirhinge/src/cli/mod.rs
+++ b/crates/weirhinge/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module per subcommand.
+//! The command line interface: one module per subcommand, plus the parts that they share.
 
 mod agent;
 mod balancer;
@@ -22,31 +22,32 @@
   weirhinge COMMAND [OPTIONS]
 
 COMMANDS:
-  balancer   Run a balancer: takes packets from the fabric, chooses agents
-  agent      Run an agent beside one back end: holds its flows
-  relay      Run on a platform whose targets end flows themselves
-  explain    Tell from logs what happened to a request, a flow or a machine
-  check      Check a settings file or a configuration document
-  get        Print the configuration that balancers have agreed on
-  status     Print a balancer's view of the group
-  apply      Replace the configuration by a document
-  drain      Let a target take no new flow
-  activate   Let a target take new flows again
+  balancer   Run a balancer, which forwards packets from the fabric to agents
+  agent      Run an agent, which terminates the flows of one back end
+  relay      Run a balancer or agent on a platform whose targets terminate flows
+  explain    Show from logs what happened to a request, a flow or a machine
+  check      Validate a settings file, a keys file or a configuration document
+  get        Print the configuration that the balancers have agreed on
+  status     Print a balancer's view of the balancer group
+  apply      Replace the configuration with a document
+  drain      Stop sending new flows to a target
+  activate   Send new flows to a target again
 
 OPTIONS:
-  -h, --help       Show this help, or a command's with COMMAND --help
+  -h, --help       Show this help; COMMAND --help shows a command's help
   -V, --version    Show the version
 
 EXIT CODES:
-  0  done, or stopped as planned
-  1  failed while running
-  2  the command line, settings or document cannot be used
+  0  success, including a graceful shutdown
+  1  runtime failure
+  2  invalid command line, settings or document
 ";
 
-/// Runs the command that the arguments name.
+/// Runs the subcommand that the arguments name.
 ///
 /// # Errors
-/// What failed, with the exit code to end with.
+/// Returns the failure, which determines the exit code, if the arguments are invalid or the
+/// subcommand fails.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-V", "--version"]) {
         println!("weirhinge {}", env!("CARGO_PKG_VERSION"));
@@ -62,7 +63,7 @@
         Some(command @ ("get" | "status" | "apply" | "drain" | "activate")) => {
             client::run(command, arguments)
         }
-        Some(other) => Err(CliFailure::usage(format!("command {other:?}: not known, see --help"))),
+        Some(other) => Err(CliFailure::usage(format!("command {other:?}: unknown, see --help"))),
         None if arguments.contains(["-h", "--help"]) => {
             print!("{HELP}");
             Ok(())
--- a/crates/weirhinge/src/cli/relay.rs
+++ b/crates/weirhinge/src/cli/relay.rs
@@ -1,4 +1,4 @@
-//! `weirhinge relay balancer` and `weirhinge relay agent`.
+//! `weirhinge relay balancer` and `weirhinge relay agent`: run a daemon in relay mode.
 
 use pico_args::Arguments;
 use slog::Level;
@@ -7,10 +7,10 @@
 use weirhinge_relay::{ProcessLog, RawSettings, Signals, run_agent, run_balancer, run_process};
 
 use super::CliFailure;
-use super::daemon::{option, refuse_rest};
+use super::daemon::{option, reject_remaining};
 
 const USAGE: &str = "\
-weirhinge relay: run on a platform whose targets end flows themselves
+weirhinge relay: run on a platform whose targets terminate flows themselves
 
 USAGE:
   weirhinge relay balancer [OPTIONS]
@@ -21,11 +21,11 @@
   --log-level LEVEL   critical, error, warning, info, debug or trace  [default: info]
   -h, --help          Show this help
 
-Log lines go to standard output, one JSON object a line. SIGTERM stops in a
-planned way; SIGHUP checks the settings file again.
+Log lines go to standard output, one JSON object per line. SIGTERM starts a
+graceful shutdown; SIGHUP reloads the settings file.
 ";
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{}", usage());
@@ -34,7 +34,7 @@
     let role = arguments.subcommand().map_err(CliFailure::usage)?;
     let file: Option<String> = option(&mut arguments, "--settings")?;
     let level = read_level(&mut arguments)?;
-    refuse_rest(arguments)?;
+    reject_remaining(arguments)?;
     let file = file.or_else(|| std::env::var(SETTINGS_VARIABLE).ok()).ok_or_else(|| {
         CliFailure::usage(format!("--settings: not given, and {SETTINGS_VARIABLE} is not set"))
     })?;
@@ -43,13 +43,13 @@
     match role.as_deref() {
         Some("balancer") => {
             let settings = raw.into_balancer(&file).map_err(CliFailure::usage)?;
-            run_logged(options, |log, signals| {
+            run_with_logging(options, |log, signals| {
                 run_balancer(UsersPlatform, settings, file, log, signals)
             })
         }
         Some("agent") => {
             let settings = raw.into_agent(&file).map_err(CliFailure::usage)?;
-            run_logged(options, |log, signals| {
+            run_with_logging(options, |log, signals| {
                 run_agent(UsersPlatform, settings, file, log, signals)
             })
         }
@@ -57,7 +57,7 @@
     }
 }
 
-fn run_logged<F, Fut>(options: LogOptions, daemon: F) -> Result<(), CliFailure>
+fn run_with_logging<F, Fut>(options: LogOptions, daemon: F) -> Result<(), CliFailure>
 where
     F: FnOnce(ProcessLog, Signals) -> Fut,
     Fut: Future<Output = eyre::Result<()>>,
--- a/crates/weirhinge/src/cli/timeline.rs
+++ b/crates/weirhinge/src/cli/timeline.rs
@@ -1,4 +1,4 @@
-//! `weirhinge explain --timeline`.
+//! `weirhinge explain --timeline`: summarizes logs over time.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -12,16 +12,16 @@
 
 use super::CliFailure;
 use super::daemon::option;
-use super::log_files::files;
+use super::log_files::read_file_names;
 
-/// Tells what a fleet did over time, from its logs.
+/// Prints a report of what a fleet did over time, from its logs.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     let options = read_options(&mut arguments)?;
     let as_json = arguments.contains("--json");
-    let files = files(arguments)?;
-    let report = read(&files, options).map_err(CliFailure::Runtime)?;
+    let files = read_file_names(arguments)?;
+    let report = build_report(&files, options).map_err(CliFailure::Runtime)?;
     if as_json {
-        let text = serde_json::to_string(&report).wrap_err("write the report");
+        let text = serde_json::to_string(&report).wrap_err("encode the report");
         println!("{}", text.map_err(CliFailure::Runtime)?);
     } else {
         print!("{}", format_report(&report));
@@ -37,16 +37,16 @@
             "argument --every: found {every_ms}, expected at least 1 millisecond"
         )));
     }
-    let seconds = |value: Option<f64>| value.map(|seconds| (seconds * 1_000.0) as i64);
+    let milliseconds = |value: Option<f64>| value.map(|seconds| (seconds * 1_000.0) as i64);
     Ok(TimelineOptions {
         every_ms,
         node: option(arguments, "--node")?.unwrap_or_default(),
-        from_ms: seconds(option(arguments, "--from")?).unwrap_or(default.from_ms),
-        to_ms: seconds(option(arguments, "--to")?).unwrap_or(default.to_ms),
+        from_ms: milliseconds(option(arguments, "--from")?).unwrap_or(default.from_ms),
+        to_ms: milliseconds(option(arguments, "--to")?).unwrap_or(default.to_ms),
     })
 }
 
-fn read(files: &[String], options: TimelineOptions) -> eyre::Result<TimelineReport> {
+fn build_report(files: &[String], options: TimelineOptions) -> eyre::Result<TimelineReport> {
     let mut timeline = Timeline::new(options);
     if files.is_empty() {
         read_lines(std::io::stdin().lock(), &mut timeline).wrap_err("read standard input")?;
@@ -59,7 +59,7 @@
     Ok(timeline.report())
 }
 
-/// Lines need not be text throughout: what is not is passed on as it can be read.
+/// Reads all lines. Bytes that are not UTF-8 are replaced, so that such a line still counts.
 fn read_lines(mut input: impl BufRead, timeline: &mut Timeline) -> std::io::Result<()> {
     let mut line = Vec::new();
     while input.read_until(b'\n', &mut line)? > 0 {
@@ -78,52 +78,57 @@
         format!("step: {name}: {count}, p50 {} ms, p99 {} ms\n", step.p50_ms, step.p99_ms)
     });
     let zones = report.zones.iter().map(format_zone);
-    let callers = report.callers.iter().map(format_callers);
+    let clients = report.callers.iter().map(format_clients);
     let (unreadable, left_out) = (report.unreadable, report.left_out);
     let end = format!("{unreadable} lines could not be read, {left_out} were left out\n");
-    let load = zones.chain(callers);
-    intervals.chain(waves).chain(idle).chain(steps).chain(load).chain([end]).collect()
+    let loads = zones.chain(clients);
+    intervals.chain(waves).chain(idle).chain(steps).chain(loads).chain([end]).collect()
 }
 
-fn seconds(at_ms: i64) -> String {
+fn format_seconds(at_ms: i64) -> String {
     format!("{:.3}", at_ms as f64 / 1_000.0)
 }
 
 fn format_interval(interval: &Interval) -> String {
     let counts = interval.counts.iter().map(|(kind, count)| format!(" {kind}={count}"));
-    format!("{:>10}{}\n", seconds(interval.at_ms), counts.collect::<String>())
+    format!("{:>10}{}\n", format_seconds(interval.at_ms), counts.collect::<String>())
 }
 
 fn format_wave(wave: &StartWave) -> String {
-    let span = |span: Option<(i64, i64)>| {
+    let format_span = |span: Option<(i64, i64)>| {
         span.map_or("none".to_owned(), |(first, last)| {
-            format!("{} to {}", seconds(first), seconds(last))
+            format!("{} to {}", format_seconds(first), format_seconds(last))
         })
     };
-    let moment = |at: Option<i64>| at.map_or("never".to_owned(), seconds);
+    let format_time = |at: Option<i64>| at.map_or("never".to_owned(), format_seconds);
     format!(
         "start of {} daemons: balancers {}, agents {}; first configuration {}, first answer {}, \
          first reset {}, last refusal {}\n",
         wave.daemons,
-        span(wave.balancers),
-        span(wave.agents),
-        moment(wave.first_configuration),
-        moment(wave.first_answer),
-        moment(wave.first_reset),
-        moment(wave.last_refusal),
+        format_span(wave.balancers),
+        format_span(wave.agents),
+        format_time(wave.first_configuration),
+        format_time(wave.first_answer),
+        format_time(wave.first_reset),
+        format_time(wave.last_refusal),
     )
 }
 
 fn format_idle(idle: &IdleDaemon) -> String {
-    let (from, to) = (seconds(idle.from_ms), seconds(idle.to_ms));
+    let (from, to) = (format_seconds(idle.from_ms), format_seconds(idle.to_ms));
     format!("idle: {} served nothing from {from} to {to} while others did\n", idle.node)
 }
 
 fn format_zone(load: &ZoneLoad) -> String {
-    format!("openings: zone {}, route {}: {}\n", load.zone, load.route, counts(&load.openings))
+    format!(
+        "openings: zone {}, route {}: {}\n",
+        load.zone,
+        load.route,
+        format_counts(&load.openings)
+    )
 }
 
-fn format_callers(route: &RouteCallers) -> String {
+fn format_clients(route: &RouteCallers) -> String {
     format!(
         "callers: route {}: {}, {} refused at least once, {} never served; most openings {}; \
          most refused {}\n",
@@ -131,20 +136,20 @@
         route.callers,
         route.refused,
         route.never_served,
-        format_caller(&route.heaviest),
-        format_caller(&route.most_refused),
+        format_client(&route.heaviest),
+        format_client(&route.most_refused),
     )
 }
 
-fn format_caller(load: &CallerLoad) -> String {
-    format!("{} ({})", load.caller, counts(&load.openings))
+fn format_client(load: &CallerLoad) -> String {
+    format!("{} ({})", load.caller, format_counts(&load.openings))
 }
 
-fn counts(openings: &OpeningCounts) -> String {
+fn format_counts(openings: &OpeningCounts) -> String {
     let OpeningCounts { served, waited, refused, refused_after_wait } = openings;
-    let at_once = refused - refused_after_wait;
+    let refused_at_once = refused - refused_after_wait;
     format!(
-        "{served} served, {waited} waited, {at_once} refused at once, {refused_after_wait} after \
+        "{served} served, {waited} waited, {refused_at_once} refused at once, {refused_after_wait} after \
          a wait"
     )
 }
--- a/crates/weirhinge/src/main.rs
+++ b/crates/weirhinge/src/main.rs
@@ -1,5 +1,5 @@
-//! The `weirhinge` program: a thin binary that reads the command line and
-//! wires the daemons up.
+//! The `weirhinge` binary: parses the command line, runs the chosen subcommand and maps its
+//! failure to an exit code.
 
 mod cli;
 
--- a/crates/weirhinge/tests/platform_store.rs
+++ b/crates/weirhinge/tests/platform_store.rs
@@ -1,4 +1,4 @@
-//! The platform's store and other connections that fail, with real processes.
+//! Real processes while the platform's store or connections to it fail.
 
 mod support;
 
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 use support::{
-    DEADLINE, METRICS, PEERS, READINESS, all_held, open, open_flows, plan, request, start,
-    wait_for_version,
+    DEADLINE, METRICS, PEERS, READINESS, check_flows_kept, open_flow, open_flows, plan, request,
+    start, wait_for_version,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use weirhinge_platform_standins::{LinkFault, StoreFault};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn balancers_that_all_restart_while_the_store_is_down_learn_from_agents() -> eyre::Result<()>
+async fn restarted_balancers_get_store_data_from_agents_while_the_store_is_down() -> eyre::Result<()>
 {
     let mut fleet = start(&plan()).await?;
     let mut flows = open_flows(&fleet, 10).await?;
     fleet
-        .wait_for("the configuration on all agents", |fleet| {
+        .wait_for("the configuration at all agents", |fleet| {
             let has = |log: String| log.contains("\"event\":\"configuration\"");
             fleet.agents.iter().all(|agent| agent.log_text().is_ok_and(has))
         })
@@ -31,18 +31,18 @@
     for balancer in &mut fleet.balancers {
         balancer.restart()?;
     }
-    all_held(&mut flows, "down").await?;
-    let mut flow = open(&fleet).await?;
+    check_flows_kept(&mut flows, "down").await?;
+    let mut flow = open_flow(&fleet).await?;
     request(&mut flow, "new").await?;
-    // When the store comes back with news, they are taken.
+    // Updates are applied once the store recovers.
     fleet.store.fail(StoreFault::None);
     fleet.configure(&[(443, &[("sheets", 1)])]);
-    wait_for_version(&fleet, 6, "the new configuration on all balancers").await?;
+    wait_for_version(&fleet, 6, "the new configuration at all balancers").await?;
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_reaches_balancers_that_the_store_does_not_serve() -> eyre::Result<()> {
+async fn changes_reach_balancers_without_store_access() -> eyre::Result<()> {
     let faults = [
         StoreFault::Status(429),
         StoreFault::Status(503),
@@ -52,64 +52,71 @@
     ];
     let mut fleet = start(&plan()).await?;
     let mut version = 3;
-    // The lowest address reads for all: refuse that one, then another.
+    // The balancer with the lowest address reads the store for all: fail its requests first,
+    // then those of another balancer.
     for (round, fault) in faults.into_iter().enumerate() {
-        let refused = fleet.balancers[round % 2].address;
-        fleet.store.fail_for(IpAddr::V4(refused), fault);
+        let failing = fleet.balancers[round % 2].address;
+        fleet.store.fail_for(IpAddr::V4(failing), fault);
         fleet.configure(&[(443, &[("dispatch", 1)])]);
         version += 3;
-        wait_for_version(&fleet, version, "a change past a refused balancer").await?;
-        fleet.store.fail_for(IpAddr::V4(refused), StoreFault::None);
+        wait_for_version(
+            &fleet,
+            version,
+            "a change at all balancers while one cannot read the store",
+        )
+        .await?;
+        fleet.store.fail_for(IpAddr::V4(failing), StoreFault::None);
     }
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_history_is_listed_anew() -> eyre::Result<()> {
+async fn lost_store_history_leads_to_a_new_listing() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
     fleet.store.forget_history();
     fleet.configure(&[(443, &[("sheets", 1)])]);
     fleet.store.forget_history();
-    wait_for_version(&fleet, 6, "the configuration behind the gap").await?;
+    wait_for_version(&fleet, 6, "the configuration written before the history was lost").await?;
     let log = fleet.balancers[0].log_text()?;
     assert!(log.contains("store_history_gone") || log.contains("\"source\":\"peer\""));
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_to_the_store_that_fall_silent_for_good_are_replaced() -> eyre::Result<()> {
+async fn stalled_store_connections_are_replaced() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
     for version in [6, 9] {
         for link in &fleet.store_links {
             link.fail(LinkFault::SilentSoFar);
         }
         fleet.configure(&[(443, &[("sheets", 1)])]);
-        wait_for_version(&fleet, version, "the configuration behind the silence").await?;
+        wait_for_version(&fleet, version, "the configuration while old store connections stall")
+            .await?;
     }
     Ok(())
 }
 
-/// Reads until the daemon closes the connection, without a word of its own.
-async fn is_closed_by_the_daemon(mut stream: TcpStream) -> eyre::Result<()> {
+/// Waits until the daemon closes the connection, without sending anything.
+async fn wait_for_close(mut stream: TcpStream) -> eyre::Result<()> {
     let mut received = Vec::new();
     let read = tokio::time::timeout(3 * DEADLINE, stream.read_to_end(&mut received)).await;
-    read.map_err(|_| eyre::eyre!("the connection was kept"))??;
+    read.map_err(|_| eyre::eyre!("the daemon did not close the connection"))??;
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_on_which_nobody_speaks_are_closed() -> eyre::Result<()> {
+async fn idle_client_connections_are_closed() -> eyre::Result<()> {
     let fleet = start(&plan()).await?;
     let address = IpAddr::V4(fleet.balancers[0].address);
     for port in [METRICS, READINESS, PEERS] {
-        let silent = TcpStream::connect((address, port)).await?;
-        is_closed_by_the_daemon(silent).await?;
+        let idle = TcpStream::connect((address, port)).await?;
+        wait_for_close(idle).await?;
     }
     for (port, path) in [(METRICS, "/metrics"), (READINESS, "/readiness")] {
         let mut kept_alive = TcpStream::connect((address, port)).await?;
         let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         kept_alive.write_all(request.as_bytes()).await?;
-        is_closed_by_the_daemon(kept_alive).await?;
+        wait_for_close(kept_alive).await?;
     }
     Ok(())
 }
--- a/crates/weirhinge/tests/pressure.rs
+++ b/crates/weirhinge/tests/pressure.rs
@@ -1,5 +1,5 @@
-//! Real balancers of unequal strength, of which the weak one gets more packets than
-//! it has time for.
+//! Two real balancers with unequal processor shares, of which the small one gets more packets
+//! than it can handle.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -12,38 +12,42 @@
 
 const METRICS: u16 = 9_464;
 const DEADLINE: Duration = Duration::from_secs(15);
-const WEAK: usize = 0;
-const STRONG: usize = 1;
-/// Packets that meet the balancer at once, far more than it decides about in a turn.
-const BURST: u16 = 200;
-/// Time in which it takes them in and has not decided about all of them.
-const TAKES_IN: Duration = Duration::from_millis(1);
-/// How long it stands still then, longer than a wait that shows pressure.
-const STANDS_STILL: Duration = Duration::from_millis(30);
-const ROUNDS: u16 = 100;
+/// Index of the balancer with the small processor share.
+const SMALL: usize = 0;
+/// Index of the balancer with the large processor share.
+const LARGE: usize = 1;
+/// Packets that reach the balancer at once, far more than it handles in one batch.
+const BURST_PACKETS: u16 = 200;
+/// Time in which the balancer receives the burst but cannot handle all of it.
+const RECEIVE_TIME: Duration = Duration::from_millis(1);
+/// How long the balancer is paused then: longer than the backlog wait that counts as pressure.
+const PAUSE: Duration = Duration::from_millis(30);
+/// Maximum number of bursts until packets are handed off.
+const MAX_ROUNDS: u16 = 100;
 
-async fn count(fleet: &Fleet, balancer: usize, name: &str) -> eyre::Result<u64> {
+/// Reads a counter of a balancer's metrics.
+async fn read_counter(fleet: &Fleet, balancer: usize, name: &str) -> eyre::Result<u64> {
     let address = IpAddr::V4(fleet.balancers[balancer].address);
-    let figures = http_get(address, METRICS, "/metrics").await?;
-    counter(&figures, name).ok_or_else(|| eyre::eyre!("no {name} in {figures}"))
+    let metrics = http_get(address, METRICS, "/metrics").await?;
+    counter(&metrics, name).ok_or_else(|| eyre::eyre!("no {name} in {metrics}"))
 }
 
-/// Lets packets of unknown flows wait in the weak balancer.
-async fn press(fleet: &Fleet, round: u16) -> eyre::Result<()> {
-    fleet.balancers[WEAK].signal(Signal::SIGSTOP)?;
-    for number in 0..BURST {
-        let port = 1_000 + (round * BURST + number) % 9_000;
-        fleet.client.send_stray(fleet.packets(WEAK), Fleet::route(443), port).await?;
+/// Makes packets of unknown flows wait in the backlog of the small balancer.
+async fn apply_pressure(fleet: &Fleet, round: u16) -> eyre::Result<()> {
+    fleet.balancers[SMALL].signal(Signal::SIGSTOP)?;
+    for number in 0..BURST_PACKETS {
+        let port = 1_000 + (round * BURST_PACKETS + number) % 9_000;
+        fleet.client.send_stray(fleet.packets(SMALL), Fleet::route(443), port).await?;
     }
-    fleet.balancers[WEAK].signal(Signal::SIGCONT)?;
-    tokio::time::sleep(TAKES_IN).await;
-    fleet.balancers[WEAK].signal(Signal::SIGSTOP)?;
-    tokio::time::sleep(STANDS_STILL).await;
-    fleet.balancers[WEAK].signal(Signal::SIGCONT)
+    fleet.balancers[SMALL].signal(Signal::SIGCONT)?;
+    tokio::time::sleep(RECEIVE_TIME).await;
+    fleet.balancers[SMALL].signal(Signal::SIGSTOP)?;
+    tokio::time::sleep(PAUSE).await;
+    fleet.balancers[SMALL].signal(Signal::SIGCONT)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_pressed_balancer_hands_unknown_flows_off_and_serves_its_own() -> eyre::Result<()> {
+async fn balancer_under_pressure_hands_off_unknown_flows_and_keeps_its_own() -> eyre::Result<()> {
     let plan = FleetPlan {
         balancers: 2,
         targets: vec!["dispatch", "dispatch"],
@@ -62,25 +66,25 @@
         flows.push((flow, server));
     }
     let mut handed_in = 0;
-    for round in 0..ROUNDS {
-        press(&fleet, round).await?;
+    for round in 0..MAX_ROUNDS {
+        apply_pressure(&fleet, round).await?;
         tokio::time::sleep(Duration::from_millis(100)).await;
-        handed_in = count(&fleet, STRONG, "weirhinge_packets_handed_in_total").await?;
+        handed_in = read_counter(&fleet, LARGE, "weirhinge_packets_handed_in_total").await?;
         if handed_in > 0 {
             break;
         }
     }
-    assert!(handed_in > 0, "the strong balancer was never asked");
-    assert!(count(&fleet, WEAK, "weirhinge_packets_handed_off_total").await? > 0);
-    // The strong one never hands anything to the weak one.
-    assert_eq!(count(&fleet, STRONG, "weirhinge_packets_handed_off_total").await?, 0);
+    assert!(handed_in > 0, "the small balancer handed no packets to the large one");
+    assert!(read_counter(&fleet, SMALL, "weirhinge_packets_handed_off_total").await? > 0);
+    // The large balancer never hands packets to the small one.
+    assert_eq!(read_counter(&fleet, LARGE, "weirhinge_packets_handed_off_total").await?, 0);
     for (number, (flow, server)) in flows.iter_mut().enumerate() {
         let answered = flow.request(&format!("second-{number}"), DEADLINE).await;
         let answered = answered.map_err(|error| eyre::eyre!("request: {error:?}"))?;
         eyre::ensure!(answered == *server, "flow {number} moved from {server} to {answered}");
     }
     let opened = fleet.client.open(Fleet::route(443)).await;
-    assert!(opened.is_ok(), "a flow opens under pressure");
-    assert!(fleet.balancers[WEAK].log_text()?.contains("\"event\":\"helpers\""));
+    assert!(opened.is_ok(), "no flow opens under pressure");
+    assert!(fleet.balancers[SMALL].log_text()?.contains("\"event\":\"helpers\""));
     Ok(())
 }
--- a/crates/weirhinge/tests/soak.rs
+++ b/crates/weirhinge/tests/soak.rs
@@ -1,55 +1,56 @@
-//! A short soak with a fixed seed. Promises that hold by time alone are left to the
-//! command, as machines that test are busy.
+//! Short soak runs with fixed seeds. Guarantees that depend on timing are checked only by the
+//! `soak` command, because test machines are busy.
 
 use std::path::Path;
 
 use weirhinge_soak::run::{Faults, Options, soak};
 use weirhinge_soak::verdict::Violation;
 
-/// Its first episode drains a target and pauses a balancer, its second kills all.
-const SEED: u64 = 1;
+/// The first episode drains a target and pauses a balancer, the second kills all processes.
+const CONCURRENT_SEED: u64 = 1;
 const EPISODES: usize = 2;
 
-fn holds_by_time_alone(violation: &Violation) -> bool {
+fn depends_on_timing(violation: &Violation) -> bool {
     matches!(
         violation,
         Violation::Failed(..) | Violation::NotInForce { .. } | Violation::LateAtDrainingTarget(_)
     )
 }
 
-/// Its first series stops a balancer and reloads another; its second restarts a target, leaves
-/// foreign entries, changes the configuration and restores the store.
+/// The first series stops a balancer and reloads another; the second restarts a target, writes
+/// foreign entries, changes the configuration and restores the store from a backup.
 const SERIES_SEED: u64 = 2;
 
-/// Its two crowds meet slow targets.
-const CROWD_SEED: u64 = 9;
+/// Its two bursts of clients hit slow targets.
+const CROWDS_SEED: u64 = 9;
 
 fn options(seed: u64, faults: Faults) -> Options {
     Options { seed, episodes: EPISODES, scale: 1, faults, verbose: false }
 }
 
-async fn breaks_nothing(options: Options) -> eyre::Result<()> {
+/// Runs a soak and fails on violations that do not depend on timing.
+async fn check_soak(options: Options) -> eyre::Result<()> {
     let program = Path::new(env!("CARGO_BIN_EXE_weirhinge"));
     let report = soak(program, options).await?;
     let violations = report.violations.into_iter();
-    let broken: Vec<_> =
-        violations.filter(|(violation, _)| !holds_by_time_alone(violation)).collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    let relevant: Vec<_> =
+        violations.filter(|(violation, _)| !depends_on_timing(violation)).collect();
+    assert!(relevant.is_empty(), "{relevant:?}");
     assert!(report.answered > 0);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_of_overlapping_faults_breaks_no_promise() -> eyre::Result<()> {
-    breaks_nothing(options(SERIES_SEED, Faults::Series)).await
+async fn soak_with_fault_series_has_no_violations() -> eyre::Result<()> {
+    check_soak(options(SERIES_SEED, Faults::Series)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_runs_nothing_twice_and_breaks_no_held_flow() -> eyre::Result<()> {
-    breaks_nothing(options(SEED, Faults::Together)).await
+async fn soak_with_concurrent_faults_has_no_violations() -> eyre::Result<()> {
+    check_soak(options(CONCURRENT_SEED, Faults::Together)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_soak_of_crowds_breaks_no_promise() -> eyre::Result<()> {
-    breaks_nothing(options(CROWD_SEED, Faults::Crowds)).await
+async fn soak_with_client_bursts_has_no_violations() -> eyre::Result<()> {
+    check_soak(options(CROWDS_SEED, Faults::Crowds)).await
 }
