--- a/crates/weirhinge/src/cli/client.rs
+++ b/crates/weirhinge/src/cli/client.rs
@@ -108,8 +108,9 @@
         let text = self.read(CONFIGURATION_PATH).await?;
         let document = ConfigDocument::from_json("configuration", text.as_bytes())
             .map_err(CliFailure::usage)?;
-        let matches = |target: &&Target| target.name == name || target.id.0.to_string() == name;
-        let found = document.targets.iter().find(matches);
+        let is_requested =
+            |target: &&Target| target.name == name || target.id.0.to_string() == name;
+        let found = document.targets.iter().find(is_requested);
         let mut target = found.cloned().ok_or_else(|| {
             CliFailure::usage(format!("target {name:?}: not in the configuration"))
         })?;
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -85,10 +85,10 @@
     Ok(())
 }
 
-fn format_line(line: &StoryLine) -> String {
-    let since_epoch = Duration::from_millis(u64::try_from(line.at_ms).unwrap_or(0));
+fn format_line(entry: &StoryLine) -> String {
+    let since_epoch = Duration::from_millis(u64::try_from(entry.at_ms).unwrap_or(0));
     let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since_epoch);
-    let fields = line.line.fields.iter();
+    let fields = entry.line.fields.iter();
     let fields: Vec<String> = fields
         .filter(|(name, value)| !HEADER_FIELDS.contains(&name.as_str()) && !value.is_null())
         .map(|(name, value)| match value {
@@ -96,7 +96,7 @@
             other => format!("{name}={other}"),
         })
         .collect();
-    format!("{time} {:<28} {:<14} {}", line.line.node, line.line.event, fields.join(" "))
+    format!("{time} {:<28} {:<14} {}", entry.line.node, entry.line.event, fields.join(" "))
 }
 
 fn print_summary(logs: &Story, line_count: usize) {
--- a/crates/weirhinge/tests/platform_path.rs
+++ b/crates/weirhinge/tests/platform_path.rs
@@ -134,8 +134,8 @@
 async fn wait_for_zone(fleet: &Fleet, event: &str, zone: &str, times: usize) -> eyre::Result<()> {
     let event = format!("\"event\":\"{event}\"");
     let zone = format!("\"zone\":\"{zone}\"");
-    let matches = |line: &&str| line.contains(&event) && line.contains(&zone);
-    let has = |log: String| log.lines().filter(matches).count() >= times;
+    let is_expected = |line: &&str| line.contains(&event) && line.contains(&zone);
+    let has = |log: String| log.lines().filter(is_expected).count() >= times;
     let all = |fleet: &Fleet| {
         fleet.balancers.iter().chain(&fleet.agents).all(|daemon| daemon.log_text().is_ok_and(has))
     };
@@ -316,7 +316,7 @@
     let mut fleet = start(&FleetPlan { balancers: 1, ..plan() }).await?;
     fleet.balancers[0].kill()?;
     fleet.balancers[0].restart_unread()?;
-    fleet.wait_for("the balancer to be in", |fleet| fleet.routers.ready() == 1).await?;
+    fleet.wait_for("the balancer to be ready", |fleet| fleet.routers.ready() == 1).await?;
     let mut flows = open_flows(&fleet, 20).await?;
     let began = Instant::now();
     // About 64 kB fit into the pipe and 256 kB into the log writer's queue; each request logs a
--- a/crates/weirhinge/tests/pressure.rs
+++ b/crates/weirhinge/tests/pressure.rs
@@ -16,7 +16,7 @@
 const SMALL: usize = 0;
 /// Index of the balancer with the large processor share.
 const LARGE: usize = 1;
-/// Packets that reach the balancer at once, far more than it handles in one batch.
+/// Packets that reach the balancer at once, far more than it handles in one iteration of its receive loop.
 const BURST_PACKETS: u16 = 200;
 /// Time in which the balancer receives the burst but cannot handle all of it.
 const RECEIVE_TIME: Duration = Duration::from_millis(1);
--- a/crates/weirhinge/tests/store_restored.rs
+++ b/crates/weirhinge/tests/store_restored.rs
@@ -67,8 +67,8 @@
         wait_for_version(&fleet, version, "a version written to the restored store").await?;
     }
     for balancer in &fleet.balancers {
-        let listings = count_listings(&balancer.log_text()?);
-        assert!(listings <= MAX_LISTINGS, "{listings} listings by {}", balancer.address);
+        let listing_count = count_listings(&balancer.log_text()?);
+        assert!(listing_count <= MAX_LISTINGS, "{listing_count} listings by {}", balancer.address);
     }
     Ok(())
 }
