--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration document: services, their targets, and a revision.
+//! The configuration document: services, their targets and a revision.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -9,12 +9,12 @@
 use crate::parse::ConfigError;
 use crate::validate;
 
-/// Largest target identifier: the holder hint of a TCP flow has 13 bits for it.
+/// Largest target identifier: the holder hint of a TCP flow encodes it in 13 bits.
 pub const MAXIMUM_TARGET_ID: u16 = (1 << 13) - 1;
-/// Largest weight of a target.
+/// Largest weight of a target; the smallest is 1.
 pub const MAXIMUM_WEIGHT: u32 = 1_000;
 
-/// Identifies a service for its whole life; never given to another service.
+/// Identifies a service permanently; an identifier is never reused for another service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceId(pub u32);
@@ -56,63 +56,63 @@
     }
 }
 
-/// One service: an address and port that callers connect to.
+/// One service: an address and port that clients connect to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Stable identifier, carried in every envelope and checked by agents.
+    /// Stable identifier, carried in every packet envelope and checked by agents.
     pub id: ServiceId,
-    /// Name shown to operators; unique.
+    /// Name shown to operators; unique among services.
     pub name: String,
-    /// Address that callers connect to.
+    /// Address that clients connect to.
     pub address: IpAddr,
-    /// Port that callers connect to; not 0.
+    /// Port that clients connect to; not 0.
     pub port: u16,
-    /// Transport protocol; TCP unless stated.
+    /// Transport protocol; defaults to TCP.
     #[serde(default)]
     pub protocol: TransportProtocol,
-    /// Whether a TCP back end is told the caller's address by a PROXY protocol
-    /// version 2 header before the caller's bytes; off unless stated.
+    /// Whether the agent sends a PROXY protocol version 2 header with the client's address to a
+    /// TCP back end before the client's first byte; off by default.
     #[serde(default)]
     pub proxy_protocol: bool,
 }
 
-/// Whether a target takes new flows.
+/// Whether a target accepts new flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TargetState {
-    /// Takes new flows, the default.
+    /// Accepts new flows, the default.
     #[default]
     Active,
-    /// Keeps its open flows and takes no new one.
+    /// Keeps its open flows and accepts no new ones.
     Draining,
 }
 
-/// One back end with the agent beside it.
+/// One back end and its co-located agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Stable identifier, unique over all services; at most 8,191.
+    /// Stable identifier, unique across all services; at most 8,191.
     pub id: TargetId,
-    /// Name shown to operators; unique.
+    /// Name shown to operators; unique among targets.
     pub name: String,
     /// The service that this target serves.
     pub service: ServiceId,
     /// Zone that the target runs in.
     pub zone: String,
-    /// UDP address at which the agent takes envelopes.
+    /// UDP address at which the agent receives packet envelopes.
     pub agent: SocketAddr,
     /// TCP or UDP address of the back end itself.
     pub back_end: SocketAddr,
     /// Share of new flows relative to the service's other targets, 1 to 1,000.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Whether the target takes new flows.
+    /// Whether the target accepts new flows.
     #[serde(default)]
     pub state: TargetState,
-    /// Requests that the back end works on at once.
+    /// Largest number of requests that the back end processes concurrently.
     pub slots: u32,
-    /// Connections that the back end accepts at once.
+    /// Largest number of concurrent connections that the back end accepts.
     pub connections: u32,
 }
 
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// Grows with every accepted change; a lower one never replaces a higher.
+    /// Increases with every accepted change; a document never replaces one of a higher revision.
     pub revision: u64,
     /// All services.
     #[serde(default)]
@@ -135,49 +135,49 @@
 }
 
 impl ConfigDocument {
-    /// Reads a document from TOML text and checks it.
+    /// Parses a document from TOML text and validates it.
     ///
     /// # Errors
-    /// Names the file, the field and what was expected there.
+    /// Returns an error that names the file, the field and the expected value.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, ConfigError> {
         let document: Self = crate::parse::from_toml(file, text)?;
         validate::check_document(file, &document)?;
         Ok(document)
     }
 
-    /// Reads a document from JSON bytes and checks it.
+    /// Parses a document from JSON bytes and validates it.
     ///
     /// # Errors
-    /// Names the origin, the field and what was expected there.
+    /// Returns an error that names the origin, the field and the expected value.
     pub fn from_json(origin: &str, bytes: &[u8]) -> Result<Self, ConfigError> {
         let document: Self = crate::parse::from_json(origin, bytes)?;
         validate::check_document(origin, &document)?;
         Ok(document)
     }
 
-    /// Checks every service, every target and how they refer to each other.
+    /// Validates all services, all targets and the references between them.
     ///
     /// # Errors
-    /// Names the first field that cannot be used.
+    /// Returns an error that names the first invalid field.
     pub fn check(&self, origin: &str) -> Result<(), ConfigError> {
         validate::check_document(origin, self)
     }
 
-    /// Checks that this document may follow `previous`: a target never changes
-    /// its service, or its open flows would end at the wrong one.
+    /// Checks that this document may replace `previous`: a target must not change its service,
+    /// because its open flows would then reach the wrong service.
     ///
     /// # Errors
-    /// Names the target whose service differs.
+    /// Returns an error that names the first target whose service differs.
     pub fn check_successor(&self, origin: &str, previous: &Self) -> Result<(), ConfigError> {
         validate::check_successor(origin, self, previous)
     }
 
-    /// The target with this identifier.
+    /// Returns the target with this identifier.
     pub fn target(&self, id: TargetId) -> Option<&Target> {
         self.targets.iter().find(|target| target.id == id)
     }
 
-    /// The service with this identifier.
+    /// Returns the service with this identifier.
     pub fn service(&self, id: ServiceId) -> Option<&Service> {
         self.services.iter().find(|service| service.id == id)
     }
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys file: secrets that all processes of one deployment share.
+//! The keys file: secrets shared by all processes of one deployment.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 /// Length of the flow hash key, in bytes.
 const HASH_KEY_BYTES: usize = 16;
 
-/// Key of the flow hash. All balancers and agents must hold the same one; a
-/// caller that does not know it cannot choose its bucket.
+/// Key of the flow hash. All balancers and agents must use the same key; a client that does not
+/// know it cannot choose the bucket of its flows.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct HashKey(pub [u8; HASH_KEY_BYTES]);
 
-/// Never prints the key itself, so that logs and errors cannot leak it.
+/// Omits the key, so that logs and errors cannot leak it.
 impl fmt::Debug for HashKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("HashKey(hidden)")
@@ -23,28 +23,28 @@
 
 /// Length of a control key, in bytes.
 const CONTROL_KEY_BYTES: usize = 32;
-/// Most control keys: the one to send with, and one more to accept while keys
-/// are changed.
+/// Largest number of control keys: the one used for sending, and a second one that is accepted
+/// during a key rotation.
 const MAXIMUM_CONTROL_KEYS: usize = 2;
 
-/// Keys by which balancers know each other's frames: frames are sent with the
-/// first and accepted with any.
+/// Keys that authenticate control frames between balancers. Frames are sent with the first key and
+/// accepted with any of them.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct ControlKeys(pub Vec<[u8; CONTROL_KEY_BYTES]>);
 
-/// Never prints a key itself, so that logs and errors cannot leak it.
+/// Omits the keys, so that logs and errors cannot leak them.
 impl fmt::Debug for ControlKeys {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "ControlKeys({} hidden)", self.0.len())
     }
 }
 
-/// Everything in a keys file.
+/// The contents of a keys file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keys {
     /// Key of the flow hash.
     pub flow_hash: HashKey,
-    /// Keys of control frames; none leaves them unprotected.
+    /// Keys of control frames; without any, control frames are not authenticated.
     pub control: ControlKeys,
 }
 
@@ -57,41 +57,41 @@
 }
 
 impl Keys {
-    /// Reads a keys file.
+    /// Reads and parses a keys file.
     ///
     /// # Errors
-    /// Names the file and the field; never quotes the value.
+    /// Returns an error that names the file and the field, and never quotes a value.
     pub fn from_file(path: &str) -> Result<Self, ConfigError> {
         let text = parse::read_file(path)?;
         Self::from_toml(path, &text)
     }
 
-    /// Reads the text of a keys file.
+    /// Parses the text of a keys file.
     ///
     /// # Errors
-    /// Names the file and the field; never quotes the value.
+    /// Returns an error that names the file and the field, and never quotes a value.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, ConfigError> {
-        // The parser's own message would quote the line with the secret.
+        // The parser's own message is dropped: it would quote the line that holds the secret.
         let keys: KeysFile = toml::from_str(text).map_err(|_| ConfigError::Syntax {
             file: file.to_owned(),
             message: "expected flow_hash = \"32 hexadecimal digits\" and, if wanted, \
                       control = [\"64 hexadecimal digits\", ...]"
                 .to_owned(),
         })?;
-        let hidden = |field: &str, expected: &str| {
+        let hidden_value_error = |field: &str, expected: &str| {
             ConfigError::field(file, field, "a hidden value", expected)
         };
         let flow_hash = decode_hexadecimal(&keys.flow_hash)
-            .ok_or_else(|| hidden("flow_hash", "32 hexadecimal digits"))?;
+            .ok_or_else(|| hidden_value_error("flow_hash", "32 hexadecimal digits"))?;
         if keys.control.len() > MAXIMUM_CONTROL_KEYS {
-            return Err(hidden("control", "at most two keys"));
+            return Err(hidden_value_error("control", "at most two keys"));
         }
         let control = keys
             .control
             .iter()
             .map(|key| decode_hexadecimal(key))
             .collect::<Option<Vec<_>>>()
-            .ok_or_else(|| hidden("control", "keys of 64 hexadecimal digits"))?;
+            .ok_or_else(|| hidden_value_error("control", "keys of 64 hexadecimal digits"))?;
         Ok(Self { flow_hash: HashKey(flow_hash), control: ControlKeys(control) })
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,8 @@
-//! Configuration: the document that describes services and targets, and the
-//! settings of one process.
+//! Configuration types: the document that describes services and targets, and the settings of
+//! one process.
 //!
-//! Types here carry serde derives and doc comments; [`document`] is what the
-//! platform serves and operators write, [`settings`] is what one process reads
-//! at its start. Both are checked before anything acts on them.
+//! [`document`] is what operators write and the platform serves; [`settings`] is what one process
+//! reads at startup. Both are validated before use.
 
 pub mod document;
 pub mod keys;
--- a/crates/config/src/machines.rs
+++ b/crates/config/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of balancer machines, which may lag.
+//! The platform's list of balancer machines, which may be out of date.
 
 use std::net::SocketAddr;
 
@@ -6,14 +6,14 @@
 
 use crate::parse::{self, ConfigError};
 
-/// Whether the platform believes that a machine stays.
+/// A machine's state as the platform last reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// The machine is live.
+    /// The machine is running and expected to stay.
     #[default]
     Live,
-    /// The machine is about to stop.
+    /// The machine is shutting down.
     Leaving,
 }
 
@@ -25,31 +25,31 @@
     pub name: String,
     /// Zone that the machine runs in.
     pub zone: String,
-    /// UDP address at which the balancer takes packets.
+    /// UDP address at which the balancer receives packets.
     pub address: SocketAddr,
-    /// TCP address at which the balancer talks to other balancers about the
-    /// configuration; none if it does not.
+    /// TCP address at which the balancer exchanges configuration with other balancers; none if it
+    /// does not take part.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// TCP address of the balancer's resource API; none if it has none.
+    /// TCP address of the balancer's resource API, if it serves one.
     #[serde(default)]
     pub api: Option<SocketAddr>,
-    /// Whether the machine stays.
+    /// Whether the machine is live or shutting down.
     #[serde(default)]
     pub state: MachineState,
 }
 
 impl MachineList {
-    /// Reads a list from JSON bytes.
+    /// Parses a list from JSON bytes.
     ///
     /// # Errors
-    /// Names the origin, the field and what was expected there.
+    /// Returns an error that names the origin, the field and the expected value.
     pub fn from_json(origin: &str, bytes: &[u8]) -> Result<Self, ConfigError> {
         parse::from_json(origin, bytes)
     }
 }
 
-/// All machines that the platform knows.
+/// All balancer machines known to the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineList {
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,28 +1,28 @@
-//! Turns text into typed values, with errors that name file, field and reason.
+//! Parses text into typed values, with errors that name the file, the field and the reason.
 
 use serde::de::DeserializeOwned;
 
-/// Why a settings file or configuration document was refused.
+/// Why a settings file or configuration document was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The text is not of the expected shape.
+    /// The text does not parse as the expected type.
     #[error("{file}: {message}")]
     Syntax {
         /// File or address that the text came from.
         file: String,
-        /// What is wrong, with the line where the format has lines.
+        /// The parser's message, with the position in the text.
         message: String,
     },
-    /// One field holds a value that cannot be used.
+    /// A field holds an invalid value.
     #[error("{file}: field {field}: found {value}, expected {expected}")]
     Field {
         /// File or address that the text came from.
         file: String,
         /// Path of the field, such as `targets[2].weight`.
         field: String,
-        /// The value found.
+        /// The value that was found.
         value: String,
-        /// What would have been accepted.
+        /// Description of the accepted values.
         expected: String,
     },
     /// The file could not be read.
@@ -30,13 +30,13 @@
     Unreadable {
         /// The file's path.
         file: String,
-        /// The operating system's reason.
+        /// The operating system's error message.
         reason: String,
     },
 }
 
 impl ConfigError {
-    /// Shorthand for [`ConfigError::Field`].
+    /// Creates a [`ConfigError::Field`].
     pub fn field(
         file: &str,
         field: impl Into<String>,
@@ -52,10 +52,10 @@
     }
 }
 
-/// Reads a file as text.
+/// Reads a file as UTF-8 text.
 ///
 /// # Errors
-/// [`ConfigError::Unreadable`] with the path and the reason.
+/// Returns [`ConfigError::Unreadable`] with the path and the reason.
 pub fn read_file(path: &str) -> Result<String, ConfigError> {
     std::fs::read_to_string(path).map_err(|error| ConfigError::Unreadable {
         file: path.to_owned(),
@@ -63,10 +63,10 @@
     })
 }
 
-/// Parses TOML text; unknown fields are refused by the types themselves.
+/// Parses TOML text. Rejecting unknown fields is left to the type's serde attributes.
 ///
 /// # Errors
-/// [`ConfigError::Syntax`] with the line and field.
+/// Returns [`ConfigError::Syntax`] with the line and field.
 pub fn from_toml<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, ConfigError> {
     toml::from_str(text).map_err(|error| ConfigError::Syntax {
         file: file.to_owned(),
@@ -74,10 +74,10 @@
     })
 }
 
-/// Parses JSON bytes; unknown fields are refused by the types themselves.
+/// Parses JSON bytes. Rejecting unknown fields is left to the type's serde attributes.
 ///
 /// # Errors
-/// [`ConfigError::Syntax`] with the line and field.
+/// Returns [`ConfigError::Syntax`] with the line and field.
 pub fn from_json<T: DeserializeOwned>(file: &str, bytes: &[u8]) -> Result<T, ConfigError> {
     serde_json::from_slice(bytes)
         .map_err(|error| ConfigError::Syntax { file: file.to_owned(), message: error.to_string() })
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: a TOML file, overridden field by field by flags.
+//! Settings of one process: a TOML file whose fields command-line flags can override.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use crate::document::{MAXIMUM_TARGET_ID, TargetId};
 use crate::parse::{self, ConfigError};
 
-/// Settings that every daemon has.
+/// Settings shared by all daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommonSettings {
     /// Name shown in logs.
     pub name: String,
     /// Zone that the process runs in.
     pub zone: String,
-    /// UDP address at which the data path's packets arrive.
+    /// UDP address at which the data path receives packets.
     pub listen: SocketAddr,
-    /// TCP address of health and metrics.
+    /// TCP address of the health and metrics endpoints.
     pub admin: SocketAddr,
     /// TCP address of the platform's configuration service.
     pub platform: SocketAddr,
@@ -27,52 +27,53 @@
 /// Settings of `weirhinge balancer`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancerSettings {
-    /// What both roles have.
+    /// Settings shared by both roles.
     pub common: CommonSettings,
-    /// Most packets that one system call receives or sends; 1 turns batching off.
+    /// Largest number of packets received or sent by one system call; 1 disables batching.
     pub batch: usize,
-    /// TCP address at which other balancers talk about the configuration.
+    /// TCP address at which the balancer exchanges configuration with other balancers.
     pub control: SocketAddr,
     /// TCP address of the resource API; loopback only.
     pub api: SocketAddr,
-    /// Control addresses of some other balancers, to find the group by when the
-    /// platform is away.
+    /// Control addresses of some other balancers, for finding the consensus group while the
+    /// platform is unavailable.
     pub peers: Vec<SocketAddr>,
-    /// Whether this balancer founds a group when it finds none. Set on one
-    /// balancer of a deployment, once.
+    /// Whether this balancer creates a group when it finds none. Set this on exactly one
+    /// balancer of a deployment, and only once.
     pub found_group: bool,
 }
 
 /// Settings of `weirhinge agent`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// What both roles have.
+    /// Settings shared by both roles.
     pub common: CommonSettings,
-    /// UDP address of the fabric, to which answers go.
+    /// UDP address of the fabric, to which packets for clients are sent.
     pub fabric: SocketAddr,
-    /// The target that this agent stands beside.
+    /// The target that this agent is co-located with.
     pub target: TargetId,
-    /// Flows that may be opening at once; more are dropped.
+    /// Largest number of half-open flows; further opening packets are dropped.
     pub half_open_limit: usize,
-    /// Targets compared for one new flow; 1 keeps every flow at its bucket's owner.
+    /// Targets whose load is compared for one new flow; with 1, the owner of the flow's bucket
+    /// admits every flow.
     pub candidates: u8,
-    /// Seconds that a planned stop waits for open flows; no limit unless stated.
+    /// Seconds that a graceful shutdown waits for open flows; unlimited by default.
     pub stop_deadline_seconds: Option<u64>,
 }
 
-/// Default bound on flows that are opening at once, per agent.
+/// Default limit on the half-open flows of one agent.
 const DEFAULT_HALF_OPEN_LIMIT: usize = 256;
-/// Default number of targets compared for one new flow.
+/// Default number of targets whose load is compared for one new flow.
 const DEFAULT_CANDIDATES: u8 = 3;
 /// Default number of packets per system call.
 const DEFAULT_BATCH: usize = 32;
 /// Largest number of packets per system call.
 const MAXIMUM_BATCH: usize = 256;
-/// Address used where no address is stated: loopback, any free port.
+/// Default listen address: loopback with any free port.
 const DEFAULT_LISTEN: &str = "127.0.0.1:0";
 
-/// The fields of a settings file; every one may also come from a flag of the
-/// same name with `-` for `_`. Unknown fields are refused.
+/// The fields of a settings file before validation. Each can also be given by a command-line flag
+/// of the same name with `-` for `_`. Unknown fields are rejected.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
@@ -111,15 +112,15 @@
 }
 
 impl RawSettings {
-    /// Reads a settings file.
+    /// Reads and parses a settings file.
     ///
     /// # Errors
-    /// Names the file, the line and the field.
+    /// Returns an error that names the file, the line and the field.
     pub fn from_file(path: &str) -> Result<Self, ConfigError> {
         parse::from_toml(path, &parse::read_file(path)?)
     }
 
-    /// Lays `flags` over these settings; a flag that is present wins.
+    /// Returns these settings with every value that is set in `flags` replaced by it.
     pub fn overridden_by(self, flags: RawSettings) -> Self {
         Self {
             name: flags.name.or(self.name),
@@ -141,37 +142,44 @@
         }
     }
 
-    /// Checks the settings of a balancer. `file` appears in errors.
+    /// Validates the settings of a balancer. `file` appears in errors.
     ///
     /// # Errors
-    /// Names the first field that is missing or cannot be used.
+    /// Returns an error that names the first missing or invalid field.
     pub fn into_balancer(self, file: &str) -> Result<BalancerSettings, ConfigError> {
-        let batch =
-            number(file, "batch", self.batch, DEFAULT_BATCH as u64, 1, MAXIMUM_BATCH as u64)?;
-        refuse_field(file, "fabric", self.fabric.is_some())?;
-        refuse_field(file, "target", self.target.is_some())?;
-        let control = address(file, "control", self.control.as_deref(), Some(DEFAULT_LISTEN))?;
-        let api = address(file, "api", self.api.as_deref(), Some(DEFAULT_LISTEN))?;
+        let batch = bounded_number(
+            file,
+            "batch",
+            self.batch,
+            DEFAULT_BATCH as u64,
+            1,
+            MAXIMUM_BATCH as u64,
+        )?;
+        reject_field(file, "fabric", self.fabric.is_some())?;
+        reject_field(file, "target", self.target.is_some())?;
+        let control =
+            parse_address(file, "control", self.control.as_deref(), Some(DEFAULT_LISTEN))?;
+        let api = parse_address(file, "api", self.api.as_deref(), Some(DEFAULT_LISTEN))?;
         let found_group = self.found_group.unwrap_or(false);
-        let peers = addresses(file, "peers", self.peers.as_deref())?;
-        let common = self.common(file, "balancer")?;
+        let peers = parse_addresses(file, "peers", self.peers.as_deref())?;
+        let common = self.into_common(file, "balancer")?;
         Ok(BalancerSettings { common, batch: batch as usize, control, api, peers, found_group })
     }
 
-    /// Checks the settings of an agent. `file` appears in errors.
+    /// Validates the settings of an agent. `file` appears in errors.
     ///
     /// # Errors
-    /// Names the first field that is missing or cannot be used.
+    /// Returns an error that names the first missing or invalid field.
     pub fn into_agent(self, file: &str) -> Result<AgentSettings, ConfigError> {
-        refuse_field(file, "batch", self.batch.is_some())?;
-        refuse_field(file, "control", self.control.is_some())?;
-        refuse_field(file, "api", self.api.is_some())?;
-        refuse_field(file, "peers", self.peers.is_some())?;
-        refuse_field(file, "found_group", self.found_group.is_some())?;
-        let fabric = address(file, "fabric", self.fabric.as_deref(), None)?;
-        let target = self.target.ok_or_else(|| missing(file, "target", "a target's id"))?;
+        reject_field(file, "batch", self.batch.is_some())?;
+        reject_field(file, "control", self.control.is_some())?;
+        reject_field(file, "api", self.api.is_some())?;
+        reject_field(file, "peers", self.peers.is_some())?;
+        reject_field(file, "found_group", self.found_group.is_some())?;
+        let fabric = parse_address(file, "fabric", self.fabric.as_deref(), None)?;
+        let target = self.target.ok_or_else(|| missing_field(file, "target", "a target's id"))?;
         check_bounds(file, "target", target, 0, u64::from(MAXIMUM_TARGET_ID))?;
-        let half_open_limit = number(
+        let half_open_limit = bounded_number(
             file,
             "half_open_limit",
             self.half_open_limit,
@@ -179,10 +187,16 @@
             1,
             u64::from(u16::MAX),
         )?;
-        let candidates =
-            number(file, "candidates", self.candidates, u64::from(DEFAULT_CANDIDATES), 1, 8)?;
+        let candidates = bounded_number(
+            file,
+            "candidates",
+            self.candidates,
+            u64::from(DEFAULT_CANDIDATES),
+            1,
+            8,
+        )?;
         let stop_deadline_seconds = self.stop_deadline_seconds;
-        let common = self.common(file, "agent")?;
+        let common = self.into_common(file, "agent")?;
         Ok(AgentSettings {
             common,
             fabric,
@@ -193,51 +207,55 @@
         })
     }
 
-    fn common(self, file: &str, role: &str) -> Result<CommonSettings, ConfigError> {
+    fn into_common(self, file: &str, role: &str) -> Result<CommonSettings, ConfigError> {
         Ok(CommonSettings {
-            listen: address(file, "listen", self.listen.as_deref(), Some(DEFAULT_LISTEN))?,
-            admin: address(file, "admin", self.admin.as_deref(), Some(DEFAULT_LISTEN))?,
-            platform: address(file, "platform", self.platform.as_deref(), None)?,
+            listen: parse_address(file, "listen", self.listen.as_deref(), Some(DEFAULT_LISTEN))?,
+            admin: parse_address(file, "admin", self.admin.as_deref(), Some(DEFAULT_LISTEN))?,
+            platform: parse_address(file, "platform", self.platform.as_deref(), None)?,
             keys_file: self
                 .keys_file
-                .ok_or_else(|| missing(file, "keys_file", "the path of the keys file"))?,
-            zone: self.zone.ok_or_else(|| missing(file, "zone", "the name of a zone"))?,
+                .ok_or_else(|| missing_field(file, "keys_file", "the path of the keys file"))?,
+            zone: self.zone.ok_or_else(|| missing_field(file, "zone", "the name of a zone"))?,
             name: self.name.unwrap_or_else(|| role.to_owned()),
         })
     }
 }
 
-fn missing(file: &str, field: &str, expected: &str) -> ConfigError {
+fn missing_field(file: &str, field: &str, expected: &str) -> ConfigError {
     ConfigError::field(file, field, "nothing", expected)
 }
 
-fn refuse_field(file: &str, field: &str, present: bool) -> Result<(), ConfigError> {
+fn reject_field(file: &str, field: &str, present: bool) -> Result<(), ConfigError> {
     if present {
         return Err(ConfigError::field(file, field, "a value", "no such field for this role"));
     }
     Ok(())
 }
 
-fn address(
+fn parse_address(
     file: &str,
     field: &str,
     value: Option<&str>,
     default: Option<&str>,
 ) -> Result<SocketAddr, ConfigError> {
     let expected = "an IP address and port, such as 127.0.0.1:7000";
-    let text = value.or(default).ok_or_else(|| missing(file, field, expected))?;
+    let text = value.or(default).ok_or_else(|| missing_field(file, field, expected))?;
     text.parse().map_err(|_| ConfigError::field(file, field, format!("{text:?}"), expected))
 }
 
-fn addresses(file: &str, field: &str, value: Option<&str>) -> Result<Vec<SocketAddr>, ConfigError> {
-    let texts = value.unwrap_or_default().split(',').map(str::trim);
-    texts
+fn parse_addresses(
+    file: &str,
+    field: &str,
+    value: Option<&str>,
+) -> Result<Vec<SocketAddr>, ConfigError> {
+    let parts = value.unwrap_or_default().split(',').map(str::trim);
+    parts
         .filter(|text| !text.is_empty())
-        .map(|text| address(file, field, Some(text), None))
+        .map(|text| parse_address(file, field, Some(text), None))
         .collect()
 }
 
-fn number(
+fn bounded_number(
     file: &str,
     field: &str,
     value: Option<u64>,
--- a/crates/config/src/validate.rs
+++ b/crates/config/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of a configuration document beyond its shape.
+//! Validates a configuration document beyond what its types enforce.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -8,7 +8,7 @@
 };
 use crate::parse::ConfigError;
 
-/// Checks every service, every target and how they refer to each other.
+/// Validates all services, all targets and the references between them.
 pub fn check_document(file: &str, document: &ConfigDocument) -> Result<(), ConfigError> {
     if document.revision == 0 {
         return Err(ConfigError::field(file, "revision", 0, "a number of at least 1"));
@@ -17,7 +17,7 @@
     check_targets(file, &document.targets, &services)
 }
 
-/// Checks that no target changes its service from one document to the next.
+/// Checks that no target serves another service than in the previous document.
 pub fn check_successor(
     file: &str,
     document: &ConfigDocument,
@@ -29,8 +29,10 @@
         match services.get(&target.id) {
             Some(&service) if service != target.service => {
                 let field = format!("targets[{index}].service");
-                let expected =
-                    format!("{}, as before; a new service needs a new target id", service.0);
+                let expected = format!(
+                    "{}, its current service; another service needs a new target id",
+                    service.0
+                );
                 return Err(ConfigError::field(file, field, target.service.0, expected));
             }
             _ => {}
@@ -60,8 +62,8 @@
         if service.port == 0 {
             return Err(ConfigError::field(file, field("port"), 0, "a port from 1 to 65535"));
         }
-        let transport = service.protocol == TransportProtocol::Udp;
-        if !endpoints.insert((service.address, service.port, transport)) {
+        let is_udp = service.protocol == TransportProtocol::Udp;
+        if !endpoints.insert((service.address, service.port, is_udp)) {
             let value = format!("{} port {}", service.address, service.port);
             let expected = "an address and port that no other service has";
             return Err(ConfigError::field(file, field("address"), value, expected));
@@ -77,7 +79,7 @@
 ) -> Result<(), ConfigError> {
     let mut ids = HashSet::new();
     let mut names = HashSet::new();
-    let mut agents = HashSet::new();
+    let mut agent_addresses = HashSet::new();
     for (index, target) in targets.iter().enumerate() {
         let field = |name: &str| format!("targets[{index}].{name}");
         check_target_values(file, target, &field)?;
@@ -93,7 +95,7 @@
             let expected = "a name that no other target has";
             return Err(ConfigError::field(file, field("name"), &target.name, expected));
         }
-        if !agents.insert(target.agent) {
+        if !agent_addresses.insert(target.agent) {
             let expected = "an agent address that no other target has";
             return Err(ConfigError::field(file, field("agent"), target.agent, expected));
         }
@@ -129,8 +131,9 @@
 }
 
 fn check_name(file: &str, field: String, name: &str) -> Result<(), ConfigError> {
-    let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
-    if !name.is_empty() && name.len() <= 64 && name.chars().all(allowed) {
+    let is_allowed =
+        |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
+    if !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed) {
         return Ok(());
     }
     let expected = "1 to 64 letters, digits, '-', '_' or '.'";
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The messages that the system's own processes exchange, encoded by `musli`.
+//! The messages that balancers and agents exchange, encoded with `musli`.
 //!
-//! Every datagram starts with [`PROTOCOL_VERSION`]; a datagram of another
-//! version or of foreign origin is refused as a [`WireError`].
+//! Every datagram starts with [`PROTOCOL_VERSION`]. [`decode`] rejects datagrams of another
+//! version or from unrelated senders with a [`WireError`].
 
 mod message;
 
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,17 +1,17 @@
-//! Message types between balancers and agents, and among agents.
+//! Message types sent from balancers to agents and between agents.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use musli::{Decode, Encode};
 use weirhinge_packet::{FlowKey, Protocol};
 
-/// First byte of every datagram between processes of the system.
+/// Protocol version, the first byte of every datagram between balancers and agents.
 pub const PROTOCOL_VERSION: u8 = 1;
 
-/// Why a datagram between processes was refused.
+/// Why a message could not be decoded or encoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
-    /// The datagram is of another protocol version or not ours at all.
+    /// The datagram has another protocol version, comes from an unrelated sender, or is empty.
     #[error("unknown protocol version")]
     UnknownVersion,
     /// The datagram's body cannot be decoded.
@@ -22,59 +22,60 @@
     Encoding,
 }
 
-/// How a packet came to the agent that receives it.
+/// Why the sender chose the receiving agent for a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Delivery {
-    /// The sender believes that the receiver owns the packet's bucket.
+    /// In the sender's configuration the receiver owns the packet's bucket.
     Owner,
-    /// The packet's echoed timestamp names the receiver as the flow's holder.
+    /// The packet's echoed timestamp identifies the receiver as the flow's holder.
     Hinted,
-    /// The receiver is asked to compare its load and admit or pass on.
+    /// A new flow is offered: the receiver compares loads, then admits the flow or forwards the
+    /// offer.
     Offered(Offer),
-    /// The receiver stands by for the owner: it acts only if nobody claims the
-    /// flow soon.
+    /// The receiver is the standby owner: it acts only if no other agent claims the flow within a
+    /// short time.
     Standby,
-    /// The receiver was the least loaded candidate and shall admit the flow.
+    /// The receiver was the least loaded candidate and must admit the flow.
     Assigned,
-    /// The sender knows, or guesses, that the receiver holds the flow.
+    /// The sender knows or assumes that the receiver holds the flow.
     Forwarded,
 }
 
-/// An offer of a new flow that travels along its candidates.
+/// An offer of a new flow, forwarded from one candidate to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Offer {
-    /// Target with the least load so far.
+    /// Least loaded target so far.
     pub best: u16,
     /// That target's load, in thousandths of its slots.
     pub best_load: u32,
-    /// How many candidates have looked at the offer so far.
+    /// Number of candidates that have evaluated the offer so far.
     pub visited: u8,
 }
 
-/// One inner packet on its way to an agent.
+/// An inner packet encapsulated for an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PacketEnvelope<'a> {
-    /// Configuration revision under which the sender decided.
+    /// Configuration revision that the sender's decision is based on.
     pub revision: u64,
-    /// Service that the sender found for the packet's destination.
+    /// Service that the packet's destination belongs to, according to the sender.
     pub service: u32,
-    /// Target that the sender meant to reach.
+    /// Target that the sender addressed.
     pub target: u16,
-    /// How the packet came here.
+    /// Why the packet was sent to this agent.
     pub delivery: Delivery,
-    /// How many agents have passed the packet on so far.
+    /// Number of agents that have forwarded the packet so far.
     pub hops: u8,
-    /// The untouched inner packet.
+    /// The unmodified inner packet.
     #[musli(bytes)]
     pub packet: &'a [u8],
 }
 
-/// An IP address and port in the form that travels.
+/// The encoded form of an IP address and port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum WireAddress {
-    /// IPv4 address as a number, and port.
+    /// IPv4 address as an integer, and port.
     V4(u32, u16),
-    /// IPv6 address as a number, and port.
+    /// IPv6 address as an integer, and port.
     V6(u128, u16),
 }
 
@@ -96,14 +97,14 @@
     }
 }
 
-/// A [`FlowKey`] in the form that travels.
+/// The encoded form of a [`FlowKey`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WireFlowKey {
     /// Whether the flow is UDP rather than TCP.
     pub udp: bool,
-    /// The caller's end.
+    /// The client's address and port.
     pub source: WireAddress,
-    /// The service's end.
+    /// The service's address and port.
     pub destination: WireAddress,
 }
 
@@ -127,59 +128,59 @@
     }
 }
 
-/// Asks the agents of one service which of them holds a flow.
+/// Query to the agents of one service: which of them holds a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HolderQuery {
     /// The service that the flow belongs to.
     pub service: u32,
-    /// Target that asks.
+    /// Target whose agent sends the query.
     pub from: u16,
-    /// Configuration revision in force at that target.
+    /// Configuration revision in effect at that agent.
     pub revision: u64,
-    /// The flow asked about.
+    /// The flow in question.
     pub flow: WireFlowKey,
 }
 
-/// How a target holds a flow.
+/// Whether a target holds a flow, and in which state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Holding {
-    /// Not at all.
+    /// The target does not hold the flow.
     Not,
-    /// The handshake is not complete; another target may win it.
+    /// The handshake is not complete; it may still complete at another target.
     Opening,
-    /// The handshake is complete: no other target holds the flow.
+    /// The handshake is complete, so no other target holds the flow.
     Open,
 }
 
-/// Tells how a target holds a flow, as the answer to a [`HolderQuery`] or
-/// unasked to the owner of the flow's bucket.
+/// Reports whether a target holds a flow: in answer to a [`HolderQuery`], or unsolicited to the
+/// owner of the flow's bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct HolderAnswer {
     /// The service that the flow belongs to.
     pub service: u32,
-    /// Target that answers.
+    /// Target whose agent answers.
     pub from: u16,
-    /// Configuration revision in force at that target.
+    /// Configuration revision in effect at that agent.
     pub revision: u64,
-    /// The flow asked about.
+    /// The flow in question.
     pub flow: WireFlowKey,
-    /// How the answering target holds it.
+    /// Whether the answering target holds the flow.
     pub holding: Holding,
 }
 
-/// Every message that an agent receives.
+/// A message to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum AgentMessage<'a> {
-    /// An inner packet.
+    /// An encapsulated inner packet.
     Packet(PacketEnvelope<'a>),
-    /// A question about a flow's holder.
+    /// A query for a flow's holder.
     HolderQuery(HolderQuery),
-    /// The answer to such a question.
+    /// The answer to such a query, or an unsolicited report.
     HolderAnswer(HolderAnswer),
 }
 
 impl AgentMessage<'_> {
-    /// The configuration revision in force at the sender.
+    /// Returns the configuration revision in effect at the sender.
     pub fn revision(&self) -> u64 {
         match self {
             AgentMessage::Packet(envelope) => envelope.revision,
@@ -189,11 +190,11 @@
     }
 }
 
-/// Encodes a message into `buffer`, replacing what it held. The buffer's
-/// memory is reused, so that the hot path does not allocate.
+/// Encodes a message into `buffer`, replacing its contents. The buffer's memory is reused, so that
+/// the hot path does not allocate.
 ///
 /// # Errors
-/// [`WireError::Encoding`] when the codec refuses the message.
+/// Returns [`WireError::Encoding`] if the codec cannot encode the message.
 pub fn encode_into(message: &AgentMessage<'_>, buffer: &mut Vec<u8>) -> Result<(), WireError> {
     buffer.clear();
     buffer.push(PROTOCOL_VERSION);
@@ -201,10 +202,11 @@
     Ok(())
 }
 
-/// Decodes a datagram; a packet inside borrows from it.
+/// Decodes a datagram. An inner packet in the message borrows from the datagram.
 ///
 /// # Errors
-/// [`WireError::UnknownVersion`] or [`WireError::Malformed`].
+/// Returns [`WireError::UnknownVersion`] if the datagram is empty or starts with another version,
+/// and [`WireError::Malformed`] if its body cannot be decoded.
 pub fn decode(datagram: &[u8]) -> Result<AgentMessage<'_>, WireError> {
     match datagram.split_first() {
         Some((&PROTOCOL_VERSION, body)) => {
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages survive the codec; foreign datagrams are refused.
+//! Messages round-trip through the codec; datagrams of other protocols are rejected.
 
 use proptest::prelude::*;
 use weirhinge_packet::{FlowKey, Protocol};
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn other_versions_and_empty_datagrams_are_foreign() {
+fn other_versions_and_empty_datagrams_are_rejected() {
     assert_eq!(decode(&[]), Err(WireError::UnknownVersion));
     assert_eq!(decode(&[0x45, 0, 0, 20]), Err(WireError::UnknownVersion));
 }
 
 proptest! {
     #[test]
-    fn packets_survive(
+    fn packets_round_trip(
         revision in any::<u64>(),
         service in any::<u32>(),
         target in any::<u16>(),
@@ -49,12 +49,12 @@
         let mut buffer = Vec::new();
         encode_into(&message, &mut buffer).expect("encodes");
         prop_assert_eq!(decode(&buffer), Ok(message));
-        // Inner packets of 1,400 bytes must fit a link of 1,500 with both outer headers.
+        // With both outer headers, an inner packet of 1,400 bytes must fit an MTU of 1,500.
         prop_assert!(buffer.len() <= packet.len() + 48);
     }
 
     #[test]
-    fn questions_and_answers_survive(
+    fn holder_queries_and_answers_round_trip(
         service in any::<u32>(), from in any::<u16>(), port in any::<u16>(),
         udp in any::<bool>(), open in any::<bool>(),
     ) {
