--- a/crates/packet/src/build.rs
+++ b/crates/packet/src/build.rs
@@ -1,4 +1,4 @@
-//! Builds the few packets that are made outside a TCP stack.
+//! Builds the packets that do not come from a TCP stack: UDP responses and TCP resets.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,21 +8,21 @@
 
 use crate::{FlowKey, TcpSegment};
 
-/// Hop limit of the packets that this crate builds.
+/// IPv4 TTL and IPv6 hop limit of the packets that this crate builds.
 const HOP_LIMIT: u8 = 64;
 
 /// Why a packet could not be built.
 #[derive(Debug, thiserror::Error)]
 pub enum PacketBuildError {
-    /// The two ends are not of one address family.
+    /// The source and destination belong to different address families.
     #[error("address families differ: {from} and {to}")]
     MixedFamilies {
-        /// The sending end.
+        /// Source address and port of the packet.
         from: SocketAddr,
-        /// The receiving end.
+        /// Destination address and port of the packet.
         to: SocketAddr,
     },
-    /// The payload does not fit one packet.
+    /// The payload exceeds the maximum size of an IP packet.
     #[error("payload of {length} bytes does not fit one packet")]
     PayloadTooLong {
         /// Payload length in bytes.
@@ -30,10 +30,10 @@
     },
 }
 
-/// Builds the answer datagram of a UDP flow, from the service to the caller.
+/// Builds a UDP response datagram of a flow, from the service to the client.
 ///
 /// # Errors
-/// When the flow mixes address families or the payload is too long.
+/// Returns an error if the flow mixes address families or the payload is too long.
 pub fn build_udp_packet(key: &FlowKey, payload: &[u8]) -> Result<Vec<u8>, PacketBuildError> {
     let too_long = |_| PacketBuildError::PayloadTooLong { length: payload.len() };
     let step = ip_step(key.destination, key.source, IpNumber::UDP)?
@@ -43,21 +43,21 @@
     Ok(packet)
 }
 
-/// Builds the reset that refuses `segment`, from the service to the caller
-/// (RFC 9293, section 3.10.7.1).
+/// Builds the TCP reset that rejects `segment`, from the service to the client (RFC 9293,
+/// section 3.10.7.1).
 ///
 /// # Errors
-/// When the flow mixes address families.
+/// Returns an error if the flow mixes address families.
 pub fn build_tcp_reset(key: &FlowKey, segment: &TcpSegment) -> Result<Vec<u8>, PacketBuildError> {
     let mut header = TcpHeader::new(key.destination.port(), key.source.port(), 0, 0);
     header.rst = true;
     if segment.ack {
         header.sequence_number = segment.acknowledgment;
     } else {
-        let consumed =
+        let sequence_space =
             segment.payload_length as u32 + u32::from(segment.syn) + u32::from(segment.fin);
         header.ack = true;
-        header.acknowledgment_number = segment.sequence.wrapping_add(consumed);
+        header.acknowledgment_number = segment.sequence.wrapping_add(sequence_space);
     }
     let step = ip_step(key.destination, key.source, IpNumber::TCP)?.tcp_header(header);
     let mut packet = Vec::with_capacity(step.size(0));
--- a/crates/packet/src/checksum.rs
+++ b/crates/packet/src/checksum.rs
@@ -1,14 +1,14 @@
-//! Verifies IP, TCP and UDP checksums where a packet ends.
+//! Verifies IP, TCP and UDP checksums.
 
 use etherparse::{SlicedPacket, TransportSlice};
 
 use crate::DropReason;
 
-/// Verifies every checksum of an inner packet.
+/// Verifies the IP header checksum and the transport checksum of an inner packet.
 ///
 /// # Errors
-/// [`DropReason::BadChecksum`] when one is wrong, [`DropReason::Truncated`]
-/// when the packet cannot be read at all.
+/// Returns [`DropReason::BadChecksum`] if a checksum is wrong and [`DropReason::Truncated`] if the
+/// packet cannot be parsed.
 pub fn verify_checksums(packet: &[u8]) -> Result<(), DropReason> {
     let sliced = SlicedPacket::from_ip(packet).map_err(|_| DropReason::Truncated)?;
     let net = sliced.net.as_ref().ok_or(DropReason::Truncated)?;
@@ -19,10 +19,10 @@
         }
     }
     let transport = sliced.transport.as_ref().ok_or(DropReason::Truncated)?;
-    if transport_checksum_holds(net, transport) { Ok(()) } else { Err(DropReason::BadChecksum) }
+    if is_transport_checksum_valid(net, transport) { Ok(()) } else { Err(DropReason::BadChecksum) }
 }
 
-fn transport_checksum_holds(
+fn is_transport_checksum_valid(
     net: &etherparse::NetSlice<'_>,
     transport: &TransportSlice<'_>,
 ) -> bool {
@@ -42,7 +42,7 @@
         TransportSlice::Udp(udp) => {
             let header = udp.to_header();
             let expected = match net {
-                // A zero checksum over IPv4 means that the sender computed none.
+                // Over IPv4, a UDP checksum of zero means that the sender computed none.
                 etherparse::NetSlice::Ipv4(_) if udp.checksum() == 0 => return true,
                 etherparse::NetSlice::Ipv4(ip) => header.calc_checksum_ipv4_raw(
                     ip.header().source(),
--- a/crates/packet/src/decode.rs
+++ b/crates/packet/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the headers of an inner packet without allocating.
+//! Decodes the headers of an inner packet without allocation.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -21,13 +21,13 @@
 /// Length of the timestamps option, in bytes.
 const TCP_OPTION_TIMESTAMPS_LENGTH: usize = 10;
 
-/// Why a packet is not carried any further.
+/// Why a packet is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum DropReason {
     /// The packet ends before its headers do.
     #[error("truncated")]
     Truncated,
-    /// A length field disagrees with the bytes received.
+    /// A length field does not match the number of bytes received.
     #[error("wrong_length")]
     WrongLength,
     /// The packet is a fragment of a larger one.
@@ -42,7 +42,7 @@
     /// The transport is neither TCP nor UDP.
     #[error("unknown_protocol")]
     UnknownProtocol,
-    /// TCP flags that no sound stack sends together.
+    /// The combination of TCP flags is one that no conforming stack sends.
     #[error("bad_flags")]
     BadFlags,
     /// An IP, TCP or UDP checksum is wrong.
@@ -51,7 +51,7 @@
 }
 
 impl DropReason {
-    /// The reason's name as it appears in metrics and logs.
+    /// Returns the reason's name as it appears in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::Truncated => "truncated",
@@ -66,12 +66,12 @@
     }
 }
 
-/// The parts of a TCP header that routing and admission look at.
+/// The parts of a TCP segment that routing and admission use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TcpSegment {
     /// Sequence number.
     pub sequence: u32,
-    /// Acknowledgment number; meaningful only when `ack` is set.
+    /// Acknowledgment number; valid only if `ack` is set.
     pub acknowledgment: u32,
     /// The SYN flag.
     pub syn: bool,
@@ -88,13 +88,13 @@
 }
 
 impl TcpSegment {
-    /// Whether this segment asks to open a new connection.
+    /// Whether this segment requests a new connection: SYN without ACK.
     pub fn opens_flow(&self) -> bool {
         self.syn && !self.ack
     }
 }
 
-/// The transport part of a packet.
+/// The transport layer of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport<'a> {
     /// A TCP segment.
@@ -103,17 +103,17 @@
     Udp(&'a [u8]),
 }
 
-/// What an inner packet says, borrowed from its bytes.
+/// A decoded inner packet that borrows from its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketView<'a> {
     /// The flow that the packet belongs to.
     pub key: FlowKey,
-    /// The transport part.
+    /// The decoded transport layer.
     pub transport: Transport<'a>,
 }
 
 impl PacketView<'_> {
-    /// The TCP segment, if the packet carries one.
+    /// Returns the TCP segment, if the packet carries one.
     pub fn tcp(&self) -> Option<&TcpSegment> {
         match &self.transport {
             Transport::Tcp(segment) => Some(segment),
@@ -122,7 +122,7 @@
     }
 }
 
-/// The addresses of a packet and the bytes behind its IP header.
+/// The addresses and protocol of an IP header, and the bytes after it.
 struct IpLayer<'a> {
     source: IpAddr,
     destination: IpAddr,
@@ -133,8 +133,8 @@
 /// Decodes one inner packet.
 ///
 /// # Errors
-/// The reason for which the packet must be dropped. Checksums are not looked
-/// at here; [`crate::verify_checksums`] does that where the packet ends.
+/// Returns the reason why the packet must be dropped. Checksums are not verified here: the
+/// endpoint that consumes the packet does so with [`crate::verify_checksums`].
 pub fn decode_packet(packet: &[u8]) -> Result<PacketView<'_>, DropReason> {
     let ip = decode_ip(packet)?;
     match ip.protocol {
@@ -217,15 +217,15 @@
 
 fn check_flags(segment: &TcpSegment) -> Result<(), DropReason> {
     let contradictory = segment.syn && (segment.fin || segment.reset);
-    let bare = !segment.syn && !segment.ack && !segment.reset;
-    if contradictory || bare {
+    let lacks_required_flag = !segment.syn && !segment.ack && !segment.reset;
+    if contradictory || lacks_required_flag {
         return Err(DropReason::BadFlags);
     }
     Ok(())
 }
 
-/// Finds the echoed timestamp by a plain walk over the options: the walk is on
-/// the hot path, and `etherparse`'s iterator decodes every option it passes.
+/// Returns the echoed timestamp of the TCP timestamps option. Scans the raw options because this is
+/// on the hot path and `etherparse`'s iterator decodes every option that it passes.
 fn timestamp_echo(mut options: &[u8]) -> Option<u32> {
     while let Some(&kind) = options.first() {
         match kind {
--- a/crates/packet/src/key.rs
+++ b/crates/packet/src/key.rs
@@ -1,9 +1,9 @@
-//! Identifies a flow by its protocol and both of its ends.
+//! Flow identity: the protocol and both endpoints.
 
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The transport protocols that the load balancer carries.
+/// Transport protocol of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Protocol {
     /// Transmission Control Protocol.
@@ -21,12 +21,12 @@
     }
 }
 
-/// The 5-tuple of a flow, always written in the caller's direction.
+/// The 5-tuple of a flow, always in the direction from client to service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FlowKey {
     /// The transport protocol.
     pub protocol: Protocol,
-    /// The caller's address and port.
+    /// The client's address and port.
     pub source: SocketAddr,
     /// The service's address and port.
     pub destination: SocketAddr,
--- a/crates/packet/tests/renumber.rs
+++ b/crates/packet/tests/sequence.rs
@@ -1,4 +1,4 @@
-//! Numbers of segments are shifted, checksums stay sound, and nothing else changes.
+//! Shifting changes only the sequence or acknowledgment number and keeps checksums valid.
 
 use etherparse::PacketBuilder;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 
 proptest! {
     #[test]
-    fn shifted_packets_are_those_built_with_the_shifted_numbers(
+    fn shifts_change_numbers_and_are_reversible(
         is_ipv6: bool,
         sequence: u32,
         acknowledgment: u32,
@@ -30,7 +30,7 @@
         shift_sequence(&mut packet, by);
         shift_acknowledgment(&mut packet, by.wrapping_neg());
         prop_assert_eq!(verify_checksums(&packet), Ok(()));
-        let view = decode_packet(&packet).expect("sound");
+        let view = decode_packet(&packet).expect("valid");
         let shifted = view.tcp().expect("TCP");
         prop_assert_eq!(shifted.sequence, sequence.wrapping_add(by));
         prop_assert_eq!(shifted.acknowledgment, acknowledgment.wrapping_sub(by));
@@ -41,7 +41,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_no_reason_to_panic(
+    fn arbitrary_bytes_never_panic(
         mut bytes in proptest::collection::vec(any::<u8>(), 0..80),
         by: u32,
     ) {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_opening_packet_acknowledges_nothing() {
+fn syn_acknowledgment_is_not_shifted() {
     let step = PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, 10], 64);
     let mut packet = Vec::new();
     step.tcp(40_000, 8_443, 7, 4_000).syn().write(&mut packet, &[]).expect("packet");
