--- a/crates/udp/src/receive.rs
+++ b/crates/udp/src/receive.rs
@@ -1,4 +1,4 @@
-//! Receives many datagrams by one system call.
+//! Receives many datagrams with one system call.
 
 use std::io::{self, IoSliceMut};
 use std::net::UdpSocket;
@@ -7,10 +7,10 @@
 use nix::errno::Errno;
 use nix::sys::socket::{MsgFlags, MultiHeaders, SockaddrStorage, recvmmsg};
 
-/// Room for one datagram; the largest inner packet is 1,400 bytes.
-pub const DATAGRAM_ROOM: usize = 2_048;
+/// Buffer size for one datagram, in bytes; the largest inner packet has 1,400 bytes.
+pub const DATAGRAM_BUFFER_BYTES: usize = 2_048;
 
-/// Reusable room for the datagrams of one receive call.
+/// Reusable buffers for the datagrams of one receive call.
 pub struct ReceiveBatch {
     buffers: Vec<Vec<u8>>,
     lengths: Vec<usize>,
@@ -18,20 +18,21 @@
 }
 
 impl ReceiveBatch {
-    /// Room for `size` datagrams.
+    /// Allocates buffers for up to `size` datagrams per call.
     pub fn new(size: usize) -> Self {
         Self {
-            buffers: vec![vec![0; DATAGRAM_ROOM]; size],
+            buffers: vec![vec![0; DATAGRAM_BUFFER_BYTES]; size],
             lengths: Vec::with_capacity(size),
             headers: MultiHeaders::preallocate(size, None),
         }
     }
 
-    /// Waits for at least one datagram and takes what else has arrived. With
-    /// the socket's read time-out, returns an empty batch when nothing comes.
+    /// Waits for at least one datagram and receives all others that have already arrived, up to the
+    /// size of the batch. The batch stays empty if the socket's read timeout expires first or a
+    /// signal interrupts the call.
     ///
     /// # Errors
-    /// The operating system's error, if the socket can no longer receive.
+    /// Returns the operating system's error if receiving fails otherwise.
     pub fn receive(&mut self, socket: &UdpSocket) -> io::Result<()> {
         self.lengths.clear();
         let mut slices: Vec<[IoSliceMut<'_>; 1]> =
@@ -47,7 +48,7 @@
         Ok(())
     }
 
-    /// The datagrams of the latest receive call.
+    /// Returns the datagrams of the last [`ReceiveBatch::receive`] call.
     pub fn datagrams(&self) -> impl Iterator<Item = &[u8]> {
         self.buffers.iter().zip(&self.lengths).map(|(buffer, &length)| &buffer[..length])
     }
--- a/crates/udp/src/send.rs
+++ b/crates/udp/src/send.rs
@@ -1,8 +1,8 @@
-//! Sends many datagrams by few system calls.
+//! Sends many datagrams with few system calls.
 //!
-//! Datagrams to one address that have one length leave as a single large one,
-//! which the kernel cuts into segments (UDP generic segmentation offload): its
-//! way through the kernel is paid once. The others leave by `sendmmsg`.
+//! Datagrams of equal length to the same address are sent as a single large one that the kernel
+//! splits into segments (UDP generic segmentation offload, GSO), so that they traverse the network
+//! stack only once. All others are sent by `sendmmsg`.
 
 use std::io::IoSlice;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,109 +13,114 @@
     ControlMessage, MsgFlags, MultiHeaders, SockaddrStorage, sendmmsg, sendmsg,
 };
 
-use crate::DATAGRAM_ROOM;
+use crate::DATAGRAM_BUFFER_BYTES;
 
-/// Most segments that the kernel takes in one large datagram.
-const MAXIMUM_SEGMENTS: usize = 64;
-/// Most bytes of one large datagram.
-const MAXIMUM_BYTES: usize = 60_000;
+/// Largest number of segments that the kernel accepts in one GSO datagram.
+const MAXIMUM_GSO_SEGMENTS: usize = 64;
+/// Largest size of one GSO datagram, in bytes.
+const MAXIMUM_GSO_BYTES: usize = 60_000;
 
-struct Outgoing {
+struct OutgoingDatagram {
     buffer: Vec<u8>,
     address: SocketAddr,
 }
 
-/// Reusable room for the datagrams of one flush.
+/// Reusable buffers for the datagrams of one flush.
 pub struct SendBatch {
-    datagrams: Vec<Outgoing>,
-    used: usize,
-    /// Places of the used datagrams, grouped by address; the order of datagrams
-    /// to one address is kept.
-    order: Vec<usize>,
+    datagrams: Vec<OutgoingDatagram>,
+    committed: usize,
+    /// Indices of the committed datagrams, grouped by address; datagrams to the same address keep
+    /// their order.
+    send_order: Vec<usize>,
     headers: MultiHeaders<SockaddrStorage>,
-    /// Turned off when the kernel refuses a large datagram.
-    segmentation: bool,
+    /// Whether GSO is used; disabled once the kernel rejects a GSO datagram as unsupported.
+    gso_enabled: bool,
 }
 
 impl SendBatch {
-    /// Room for `size` datagrams.
+    /// Allocates buffers for `size` datagrams. A batch of size 1 does not use GSO.
     pub fn new(size: usize) -> Self {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let outgoing = || Outgoing { buffer: Vec::with_capacity(DATAGRAM_ROOM), address: nowhere };
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        let empty_datagram = || OutgoingDatagram {
+            buffer: Vec::with_capacity(DATAGRAM_BUFFER_BYTES),
+            address: unspecified,
+        };
         Self {
-            datagrams: (0..size).map(|_| outgoing()).collect(),
-            used: 0,
-            order: Vec::with_capacity(size),
+            datagrams: (0..size).map(|_| empty_datagram()).collect(),
+            committed: 0,
+            send_order: Vec::with_capacity(size),
             headers: MultiHeaders::preallocate(size, None),
-            segmentation: size > 1,
+            gso_enabled: size > 1,
         }
     }
 
-    /// Whether nothing more can be committed before a flush.
+    /// Whether the batch must be flushed before the next commit.
     pub fn is_full(&self) -> bool {
-        self.used == self.datagrams.len()
+        self.committed == self.datagrams.len()
     }
 
-    /// The buffer that the next [`SendBatch::commit`] will send.
+    /// Returns the buffer of the datagram that the next [`SendBatch::commit`] adds. The buffer may
+    /// still hold the contents of an earlier datagram.
     pub fn next_buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.datagrams[self.used].buffer
+        &mut self.datagrams[self.committed].buffer
     }
 
-    /// Adds the buffer last given out as a datagram to `address`.
+    /// Adds the contents of [`SendBatch::next_buffer`] as a datagram to `address`.
     pub fn commit(&mut self, address: SocketAddr) {
-        self.datagrams[self.used].address = address;
-        self.used += 1;
+        self.datagrams[self.committed].address = address;
+        self.committed += 1;
     }
 
-    /// Sends everything committed and returns how many datagrams were sent. A
-    /// datagram that the kernel refuses is passed over.
+    /// Sends all committed datagrams and returns the number sent. Datagrams that the kernel rejects
+    /// are skipped.
     pub fn flush(&mut self, socket: &UdpSocket) -> usize {
-        self.order.clear();
-        self.order.extend(0..self.used);
+        self.send_order.clear();
+        self.send_order.extend(0..self.committed);
         let datagrams = &self.datagrams;
-        // A stable sort: datagrams to one address stay in their order.
-        self.order.sort_by_key(|&place| datagrams[place].address);
+        // The sort is stable, so datagrams to the same address keep their order.
+        self.send_order.sort_by_key(|&index| datagrams[index].address);
         let mut sent = 0;
-        let mut singles = Vec::with_capacity(self.used);
+        let mut singles = Vec::with_capacity(self.committed);
         let mut start = 0;
-        while start < self.order.len() {
-            let length = self.run_length(start);
-            let run = &self.order[start..start + length];
+        while start < self.send_order.len() {
+            let length = self.gso_run_length(start);
+            let run = &self.send_order[start..start + length];
             start += length;
             if length == 1 {
                 singles.push(run[0]);
                 continue;
             }
-            match send_run(socket, &self.datagrams, run) {
+            match send_gso(socket, &self.datagrams, run) {
                 Ok(()) => sent += length,
                 Err(error) => {
-                    self.segmentation &= !is_refusal(error);
+                    self.gso_enabled &= !is_gso_unsupported(error);
                     singles.extend_from_slice(run);
                 }
             }
         }
         sent += self.send_singles(socket, &singles);
-        self.used = 0;
+        self.committed = 0;
         sent
     }
 
-    /// How many datagrams from `start` in the order can leave as one: the same
-    /// address, the same length, only the last may be shorter.
-    fn run_length(&self, start: usize) -> usize {
-        if !self.segmentation {
+    /// Returns how many datagrams from position `start` of the send order fit one GSO datagram: they
+    /// have the same address and the same length, except that the last may be shorter.
+    fn gso_run_length(&self, start: usize) -> usize {
+        if !self.gso_enabled {
             return 1;
         }
-        let first = &self.datagrams[self.order[start]];
-        let segment = first.buffer.len();
+        let first = &self.datagrams[self.send_order[start]];
+        let segment_length = first.buffer.len();
         let mut length = 1;
-        for &place in &self.order[start + 1..] {
-            let next = &self.datagrams[place];
-            let fits = length < MAXIMUM_SEGMENTS && (length + 1) * segment <= MAXIMUM_BYTES;
-            if !fits || next.address != first.address || next.buffer.len() > segment {
+        for &index in &self.send_order[start + 1..] {
+            let next = &self.datagrams[index];
+            let fits =
+                length < MAXIMUM_GSO_SEGMENTS && (length + 1) * segment_length <= MAXIMUM_GSO_BYTES;
+            if !fits || next.address != first.address || next.buffer.len() > segment_length {
                 break;
             }
             length += 1;
-            if next.buffer.len() < segment {
+            if next.buffer.len() < segment_length {
                 break;
             }
         }
@@ -124,26 +129,26 @@
 
     fn send_singles(&mut self, socket: &UdpSocket, singles: &[usize]) -> usize {
         let mut sent = 0;
-        let mut rest = singles;
-        while !rest.is_empty() {
-            match self.send_some(socket, rest) {
+        let mut remaining = singles;
+        while !remaining.is_empty() {
+            match self.send_multiple(socket, remaining) {
                 Err(Errno::EINTR) => {}
-                Ok(0) | Err(_) => rest = &rest[1..],
+                Ok(0) | Err(_) => remaining = &remaining[1..],
                 Ok(count) => {
                     sent += count;
-                    rest = &rest[count..];
+                    remaining = &remaining[count..];
                 }
             }
         }
         sent
     }
 
-    fn send_some(&mut self, socket: &UdpSocket, places: &[usize]) -> nix::Result<usize> {
+    fn send_multiple(&mut self, socket: &UdpSocket, indices: &[usize]) -> nix::Result<usize> {
         let slices: Vec<[IoSlice<'_>; 1]> =
-            places.iter().map(|&place| [IoSlice::new(&self.datagrams[place].buffer)]).collect();
-        let addresses: Vec<Option<SockaddrStorage>> = places
+            indices.iter().map(|&index| [IoSlice::new(&self.datagrams[index].buffer)]).collect();
+        let addresses: Vec<Option<SockaddrStorage>> = indices
             .iter()
-            .map(|&place| Some(SockaddrStorage::from(self.datagrams[place].address)))
+            .map(|&index| Some(SockaddrStorage::from(self.datagrams[index].address)))
             .collect();
         let no_control: [ControlMessage<'_>; 0] = [];
         let results = sendmmsg(
@@ -158,18 +163,19 @@
     }
 }
 
-fn send_run(socket: &UdpSocket, datagrams: &[Outgoing], run: &[usize]) -> nix::Result<()> {
+fn send_gso(socket: &UdpSocket, datagrams: &[OutgoingDatagram], run: &[usize]) -> nix::Result<()> {
     let slices: Vec<IoSlice<'_>> =
-        run.iter().map(|&place| IoSlice::new(&datagrams[place].buffer)).collect();
+        run.iter().map(|&index| IoSlice::new(&datagrams[index].buffer)).collect();
     let first = &datagrams[run[0]];
-    let segment = first.buffer.len() as u16;
-    let control = [ControlMessage::UdpGsoSegments(&segment)];
+    let segment_length = first.buffer.len() as u16;
+    let control = [ControlMessage::UdpGsoSegments(&segment_length)];
     let address = SockaddrStorage::from(first.address);
     let flags = MsgFlags::empty();
     sendmsg(socket.as_raw_fd(), &slices, &control, flags, Some(&address)).map(|_| ())
 }
 
-/// Whether the kernel has no segmentation, rather than no room or no receiver.
-fn is_refusal(error: Errno) -> bool {
+/// Whether the error means that GSO is unsupported, rather than a full buffer or an unreachable
+/// receiver.
+fn is_gso_unsupported(error: Errno) -> bool {
     matches!(error, Errno::EINVAL | Errno::EIO | Errno::ENOPROTOOPT | Errno::EOPNOTSUPP)
 }
