--- a/crates/stack/src/device.rs
+++ b/crates/stack/src/device.rs
@@ -1,4 +1,4 @@
-//! A `smoltcp` device made of two queues.
+//! A `smoltcp` device backed by two in-memory queues.
 
 use std::collections::VecDeque;
 
@@ -7,7 +7,7 @@
 
 use crate::INNER_MTU;
 
-/// Packets that wait to be read by the stack, and packets that it has written.
+/// Packets to be read by the stack, and packets written by it.
 #[derive(Debug, Default)]
 pub(crate) struct QueueDevice {
     pub(crate) incoming: VecDeque<Vec<u8>>,
@@ -50,7 +50,7 @@
         let mut capabilities = DeviceCapabilities::default();
         capabilities.medium = Medium::Ip;
         capabilities.max_transmission_unit = INNER_MTU;
-        // Whoever queues a packet has verified its checksums already.
+        // Incoming packets are queued only after their checksums have been verified.
         capabilities.checksum.ipv4 = Checksum::Tx;
         capabilities.checksum.tcp = Checksum::Tx;
         capabilities
--- a/crates/stack/src/endpoint.rs
+++ b/crates/stack/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One TCP endpoint with its own small `smoltcp` interface.
+//! A TCP endpoint with a `smoltcp` interface of its own.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,39 +11,39 @@
 
 use crate::device::QueueDevice;
 
-/// Interval of keep-alive probes towards an idle peer.
+/// Interval of keep-alive probes to an idle peer.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(60);
-/// How long an unanswering peer is kept. Longer than most network cuts: an open
-/// feed is worth more than the memory of a dead one.
+/// How long a connection to an unresponsive peer is kept. This is longer than most network
+/// partitions: keeping an open feed is worth more than freeing the memory of a dead one early.
 const PEER_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Supplies TCP timestamp values. A plain function, as `smoltcp` has it.
+/// Supplies TCP timestamp values. `smoltcp` requires a plain function pointer.
 pub type TimestampSource = fn() -> u32;
 
 /// Sizes of an endpoint's buffers, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BufferSizes {
-    /// Bytes received and not read yet.
+    /// Capacity for bytes that were received but not read yet.
     pub receive: usize,
-    /// Bytes written and not acknowledged yet.
+    /// Capacity for bytes that were written but not acknowledged yet.
     pub send: usize,
 }
 
-/// What an endpoint needs besides its addresses.
+/// Options of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointOptions {
     /// Buffer sizes.
     pub buffers: BufferSizes,
-    /// Seed of the initial sequence number. Must come from a secure source.
+    /// Seed of the random initial sequence number. Must come from a cryptographically secure source.
     pub seed: u64,
-    /// Source of timestamp values; without one, the endpoint neither offers nor
-    /// takes up the timestamps option.
+    /// Source of timestamp values. Without one, the endpoint neither offers nor accepts the TCP
+    /// timestamps option.
     pub timestamps: Option<TimestampSource>,
-    /// The first sequence number that the peer sees, of an endpoint that listens;
-    /// none for one that the stack draws. Must be as hard to guess.
+    /// Initial sequence number that the peer of a listening endpoint sees; if none, `smoltcp`
+    /// chooses a random one. Must be as hard to guess as a random one.
     pub initial_sequence: Option<u32>,
-    /// Whether resets leave before the handshake is complete; only ever true
-    /// for a defect planted on purpose.
+    /// Whether resets are sent even before the handshake is complete. This is a defect, enabled only
+    /// by deliberate fault injection.
     pub resets_early: bool,
 }
 
@@ -53,48 +53,48 @@
 
 impl std::fmt::Display for EndpointError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("address or port cannot be used")
+        formatter.write_str("TCP endpoint cannot use the given address or port")
     }
 }
 
 impl std::error::Error for EndpointError {}
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// This many bytes were read.
     Read(usize),
-    /// Nothing to read yet.
+    /// No bytes are available yet.
     Empty,
-    /// The peer has sent everything and closed its direction.
+    /// The peer has closed its direction, and all of its bytes have been read.
     Finished,
-    /// The connection was reset, timed out or never came to be.
+    /// The connection was reset, timed out or was never established.
     Reset,
 }
 
-/// One end of one TCP connection. Time is passed in, counted from any fixed
-/// moment.
+/// One end of one TCP connection. The current time is passed in, as the duration since an arbitrary
+/// fixed start.
 pub struct TcpEndpoint {
     interface: Interface,
     sockets: SocketSet<'static>,
     handle: SocketHandle,
     device: QueueDevice,
-    listens: bool,
+    is_listener: bool,
     established: bool,
     peer_finished: bool,
     aborted: bool,
     resets_early: bool,
     initial_sequence: Option<u32>,
-    /// What is added to the stack's own sequence numbers for the peer, once the
-    /// stack has drawn its first one.
+    /// Offset from the stack's sequence numbers to those that the peer sees; known once the stack
+    /// has chosen its initial one.
     sequence_shift: Option<u32>,
 }
 
 impl TcpEndpoint {
-    /// An endpoint at `local` that waits for one connection.
+    /// Creates an endpoint at `local` that waits for one connection.
     ///
     /// # Errors
-    /// When the address or port cannot be used.
+    /// Returns an error if the address or port cannot be used.
     pub fn listen(local: SocketAddr, options: EndpointOptions) -> Result<Self, EndpointError> {
         let mut endpoint = Self::create(local.ip(), options, true)?;
         let listen = IpListenEndpoint { addr: Some(local.ip().into()), port: local.port() };
@@ -102,10 +102,10 @@
         Ok(endpoint)
     }
 
-    /// An endpoint at `local` that connects to `remote`.
+    /// Creates an endpoint at `local` that connects to `remote`.
     ///
     /// # Errors
-    /// When an address or port cannot be used.
+    /// Returns an error if an address or port cannot be used.
     pub fn connect(
         local: SocketAddr,
         remote: SocketAddr,
@@ -120,18 +120,22 @@
         Ok(endpoint)
     }
 
-    fn create(ip: IpAddr, options: EndpointOptions, listens: bool) -> Result<Self, EndpointError> {
+    fn create(
+        ip: IpAddr,
+        options: EndpointOptions,
+        is_listener: bool,
+    ) -> Result<Self, EndpointError> {
         let mut device = QueueDevice::default();
         let mut config = Config::new(HardwareAddress::Ip);
         config.random_seed = options.seed;
         let mut interface = Interface::new(config, &mut device, Instant::ZERO);
         let address = IpAddress::from(ip);
-        let mut added = false;
+        let mut has_address = false;
         interface.update_ip_addrs(|addresses| {
-            added = addresses.push(IpCidr::new(address, host_prefix(ip))).is_ok();
+            has_address = addresses.push(IpCidr::new(address, host_prefix_length(ip))).is_ok();
         });
         add_default_route(&mut interface, ip).map_err(|()| EndpointError)?;
-        if !added {
+        if !has_address {
             return Err(EndpointError);
         }
         let mut sockets = SocketSet::new(Vec::with_capacity(1));
@@ -141,7 +145,7 @@
             sockets,
             handle,
             device,
-            listens,
+            is_listener,
             established: false,
             peer_finished: false,
             aborted: false,
@@ -151,7 +155,7 @@
         })
     }
 
-    /// Queues a packet from the peer. Its checksums must have been verified.
+    /// Queues a packet from the peer. The caller must have verified its checksums.
     pub fn receive(&mut self, mut packet: Vec<u8>) {
         if let Some(shift) = self.sequence_shift {
             shift_acknowledgment(&mut packet, shift.wrapping_neg());
@@ -159,39 +163,39 @@
         self.device.incoming.push_back(packet);
     }
 
-    /// Lets the stack work on what is queued and due.
+    /// Processes queued packets and due timers.
     pub fn poll(&mut self, now: Duration) {
         let now = stack_instant(now);
         self.interface.poll(now, &mut self.device, &mut self.sockets);
-        if self.state_is_connected() {
+        if self.has_connected_state() {
             self.established = true;
         }
-        if self.state_follows_fin() {
+        if self.has_received_fin() {
             self.peer_finished = true;
         }
     }
 
     /// Takes the packets that the stack has written.
     ///
-    /// Before the handshake is complete, resets are held back unless
-    /// [`TcpEndpoint::abort`] asked for one. Two agents may both answer one
-    /// repeated SYN; the caller acknowledges only one of their sequence numbers,
-    /// and a reset from the other would break the flow that it just opened.
+    /// Until the handshake of a listening endpoint is complete, its resets are dropped unless
+    /// [`TcpEndpoint::abort`] was called. Two agents may both answer a retransmitted SYN; the
+    /// client acknowledges only one of their sequence numbers, and a reset from the other agent
+    /// would break the flow that was just opened.
     pub fn take_outgoing(&mut self) -> Vec<Vec<u8>> {
         let mut packets = std::mem::take(&mut self.device.outgoing);
-        if self.listens && !self.established && !self.aborted && !self.resets_early {
+        if self.is_listener && !self.established && !self.aborted && !self.resets_early {
             packets.retain(|packet| !is_reset(packet));
         }
         for packet in &mut packets {
-            self.renumber(packet);
+            self.shift_to_peer_sequence(packet);
         }
         packets
     }
 
-    /// Gives a packet of the stack the numbers that the peer knows.
-    fn renumber(&mut self, packet: &mut [u8]) {
+    /// Replaces the stack's sequence number in a packet by the one that the peer expects.
+    fn shift_to_peer_sequence(&mut self, packet: &mut [u8]) {
         if self.sequence_shift.is_none() {
-            let first = opening_answer(packet);
+            let first = syn_ack_sequence(packet);
             self.sequence_shift =
                 self.initial_sequence.zip(first).map(|(wanted, own)| wanted.wrapping_sub(own));
         }
@@ -200,13 +204,13 @@
         }
     }
 
-    /// When the stack next has something to do, if ever.
+    /// Returns the delay until the next poll is due, if any timer is set.
     pub fn next_poll(&mut self, now: Duration) -> Option<Duration> {
         let delay = self.interface.poll_delay(stack_instant(now), &self.sockets)?;
         Some(Duration::from_micros(delay.total_micros()))
     }
 
-    /// Reads received bytes.
+    /// Reads received bytes into `buffer`.
     pub fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         if !self.established {
             let closed = self.socket().state() == State::Closed;
@@ -220,18 +224,18 @@
         }
     }
 
-    /// Bytes that can be written now.
-    pub fn send_room(&self) -> usize {
+    /// Returns the number of bytes that can be written now.
+    pub fn writable_bytes(&self) -> usize {
         let socket = self.socket();
         if socket.can_send() { socket.send_capacity() - socket.send_queue() } else { 0 }
     }
 
-    /// Writes bytes; returns how many were taken.
+    /// Writes bytes and returns how many were accepted.
     pub fn write(&mut self, bytes: &[u8]) -> usize {
         self.socket_mut().send_slice(bytes).unwrap_or(0)
     }
 
-    /// Closes the sending direction once everything written is acknowledged.
+    /// Closes the sending direction once all written bytes have been sent.
     pub fn close(&mut self) {
         self.socket_mut().close();
     }
@@ -242,30 +246,30 @@
         self.socket_mut().abort();
     }
 
-    /// Whether the handshake has completed at some time.
-    pub fn established(&self) -> bool {
+    /// Whether the handshake has ever completed, also if the connection has since closed.
+    pub fn is_established(&self) -> bool {
         self.established
     }
 
-    /// Whether nothing more will come from or go to the peer.
+    /// Whether the connection is closed, so that no more packets are exchanged with the peer.
     pub fn is_closed(&self) -> bool {
         self.socket().state() == State::Closed
     }
 
-    /// Whether the peer has closed its direction in order. What it sent before
-    /// may still wait to be read.
-    pub fn peer_finished(&self) -> bool {
+    /// Whether the peer has closed its direction in an orderly way. Bytes that it sent before may
+    /// still be unread.
+    pub fn has_peer_finished(&self) -> bool {
         self.peer_finished
     }
 
-    fn state_follows_fin(&self) -> bool {
+    fn has_received_fin(&self) -> bool {
         matches!(
             self.socket().state(),
             State::CloseWait | State::LastAck | State::Closing | State::TimeWait
         )
     }
 
-    fn state_is_connected(&self) -> bool {
+    fn has_connected_state(&self) -> bool {
         !matches!(
             self.socket().state(),
             State::Closed | State::Listen | State::SynSent | State::SynReceived
@@ -294,7 +298,7 @@
 }
 
 fn add_default_route(interface: &mut Interface, ip: IpAddr) -> Result<(), ()> {
-    // The gateway's address does not matter on a device without link layer.
+    // The gateway address is irrelevant for a device without a link layer.
     let routes = interface.routes_mut();
     match ip {
         IpAddr::V4(ip) => routes.add_default_ipv4_route(ip).map(|_| ()).map_err(|_| ()),
@@ -302,7 +306,7 @@
     }
 }
 
-fn host_prefix(ip: IpAddr) -> u8 {
+fn host_prefix_length(ip: IpAddr) -> u8 {
     match ip {
         IpAddr::V4(_) => 32,
         IpAddr::V6(_) => 128,
@@ -313,8 +317,8 @@
     decode_packet(packet).is_ok_and(|view| view.tcp().is_some_and(|segment| segment.reset))
 }
 
-/// The sequence number of a packet that answers an opening packet.
-fn opening_answer(packet: &[u8]) -> Option<u32> {
+/// Returns the sequence number of a SYN-ACK packet.
+fn syn_ack_sequence(packet: &[u8]) -> Option<u32> {
     let view = decode_packet(packet).ok()?;
     view.tcp().filter(|segment| segment.syn && segment.ack).map(|segment| segment.sequence)
 }
--- a/crates/stack/src/lib.rs
+++ b/crates/stack/src/lib.rs
@@ -1,9 +1,9 @@
 //! A user-space TCP endpoint for one flow, and its splice to a byte stream.
 //!
-//! [`TcpEndpoint`] wraps `smoltcp`: packets and time go in, packets and bytes
-//! come out, and nothing in it touches a socket or a clock. [`splice`] drives
-//! one endpoint against any asynchronous byte stream. Agents splice callers to
-//! back ends with it; the rehearsal's callers splice HTTP clients to the fabric.
+//! [`TcpEndpoint`] wraps `smoltcp` without I/O of its own: the caller passes in packets, bytes and
+//! the current time, and takes out packets and bytes. [`splice`] connects one endpoint to any
+//! asynchronous byte stream. Agents use it to connect clients to back ends; the rehearsal uses it
+//! to connect its HTTP clients to the fabric.
 
 mod device;
 mod endpoint;
@@ -14,6 +14,6 @@
 };
 pub use splice::{FlowObserver, NoObserver, PacketSink, SpliceEnd, splice};
 
-/// Largest inner packet, in bytes: with envelope, UDP and outer IP headers it
-/// still fits a link of 1,500 bytes.
+/// Largest inner packet, in bytes: with the envelope, UDP and outer IP headers it still fits a link
+/// MTU of 1,500 bytes.
 pub const INNER_MTU: usize = 1_400;
--- a/crates/stack/src/splice.rs
+++ b/crates/stack/src/splice.rs
@@ -1,4 +1,4 @@
-//! Carries bytes between a [`TcpEndpoint`] and an asynchronous byte stream.
+//! Copies bytes between a [`TcpEndpoint`] and an asynchronous byte stream.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,31 +12,32 @@
 
 use crate::endpoint::{ReadOutcome, TcpEndpoint};
 
-/// Bytes moved in one step; bounds the memory that a step needs on the stack.
-const CHUNK: usize = 4_096;
-/// Longest sleep between two polls of an endpoint with nothing due.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+/// Largest number of bytes copied at once; bounds the call stack memory that a copy uses.
+const CHUNK_BYTES: usize = 4_096;
+/// Longest sleep between two polls of an endpoint that has no timer due.
+const MAXIMUM_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// Where an endpoint's packets go. Sending must not block; a packet that cannot
-/// be sent is dropped, and TCP repeats it.
+/// Sends an endpoint's packets. Sending must not block: a packet that cannot be sent is dropped, and
+/// TCP retransmits it.
 pub trait PacketSink: Send {
-    /// Sends one packet.
+    /// Sends one packet, or drops it if that would block.
     fn send(&mut self, packet: &[u8]);
 }
 
-/// Is told what happens on a flow.
+/// Receives the events of a flow.
 pub trait FlowObserver: Send {
-    /// The handshake with the peer is complete.
+    /// Called when the handshake with the peer completes.
     fn established(&mut self) {}
-    /// Bytes of the peer were handed to the stream.
+    /// Called when bytes from the peer were written to the stream.
     fn peer_sent(&mut self) {}
-    /// Bytes of the stream were handed to the peer.
+    /// Called when bytes from the stream were queued for the peer.
     fn stream_sent(&mut self) {}
-    /// Both directions are done; only late packets may still come.
+    /// Called once, when both directions are closed or the flow ends otherwise. After an orderly
+    /// close, late packets of the peer may still arrive.
     fn finished(&mut self) {}
 }
 
-/// Observes nothing.
+/// A [`FlowObserver`] that ignores all events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoObserver;
 
@@ -45,21 +46,21 @@
 /// How a spliced flow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpliceEnd {
-    /// Both directions were closed in order.
+    /// Both directions were closed in an orderly way.
     Closed,
-    /// The peer reset the flow or fell silent for too long.
+    /// The peer reset the flow or did not respond within the endpoint's timeout.
     PeerReset,
-    /// The stream failed; the peer was sent a reset.
+    /// The stream failed, and a reset was sent to the peer.
     StreamFailed,
-    /// The owner dropped the packet queue; the peer was sent a reset.
+    /// The sender of the packet queue was dropped, and a reset was sent to the peer.
     Cancelled,
     /// The handshake never completed.
     NeverOpened,
 }
 
-/// One direction's end, seen from the splice.
+/// State of one direction of the splice.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Direction {
+enum DirectionState {
     Open,
     Closed,
 }
@@ -70,19 +71,19 @@
     packets: &'a mut mpsc::Receiver<Vec<u8>>,
     sink: K,
     observer: O,
-    started: Instant,
+    started_at: Instant,
     deadline: Option<Instant>,
     timer: Pin<Box<Sleep>>,
-    /// Bytes read from the peer that the stream has not taken yet.
+    /// Bytes received from the peer that have not been written to the stream yet.
     pending: Vec<u8>,
-    from_peer: Direction,
-    from_stream: Direction,
+    from_peer: DirectionState,
+    from_stream: DirectionState,
     established: bool,
     finished: bool,
 }
 
-/// Runs one flow until it ends. Packets of the peer come from `packets`.
-/// `handshake_timeout` bounds the time until the handshake is complete.
+/// Runs one flow until it ends. `packets` delivers the packets from the peer, and
+/// `handshake_timeout` limits the time until the handshake is complete.
 pub async fn splice<S, K, O>(
     endpoint: TcpEndpoint,
     stream: S,
@@ -103,12 +104,12 @@
         packets,
         sink,
         observer,
-        started: now,
+        started_at: now,
         deadline: Some(now + handshake_timeout),
         timer: Box::pin(sleep_until(now)),
         pending: Vec::new(),
-        from_peer: Direction::Open,
-        from_stream: Direction::Open,
+        from_peer: DirectionState::Open,
+        from_stream: DirectionState::Open,
         established: false,
         finished: false,
     };
@@ -126,34 +127,34 @@
     K: PacketSink,
     O: FlowObserver,
 {
-    /// Repeats every move until none makes progress; each move that could not
-    /// go on has registered its waker by then.
+    /// Repeats all operations until none makes progress. By then each operation that is pending has
+    /// registered its waker.
     fn step(&mut self, context: &mut Context<'_>) -> Poll<SpliceEnd> {
         loop {
-            let packets_closed = self.take_packets(context);
+            let packets_closed = self.receive_packets(context);
             self.poll_endpoint();
-            if let Some(end) = self.check_end(packets_closed) {
+            if let Some(end) = self.detect_end(packets_closed) {
                 return Poll::Ready(end);
             }
-            let moved = match self.move_bytes(context) {
-                Ok(moved) => moved,
+            let progressed = match self.copy_bytes(context) {
+                Ok(progressed) => progressed,
                 Err(_) => {
                     self.endpoint.abort();
                     self.poll_endpoint();
                     return Poll::Ready(SpliceEnd::StreamFailed);
                 }
             };
-            if moved {
+            if progressed {
                 continue;
             }
-            self.arm_timer();
+            self.reset_timer();
             if self.timer.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
         }
     }
 
-    fn take_packets(&mut self, context: &mut Context<'_>) -> bool {
+    fn receive_packets(&mut self, context: &mut Context<'_>) -> bool {
         loop {
             match self.packets.poll_recv(context) {
                 Poll::Ready(Some(packet)) => self.endpoint.receive(packet),
@@ -164,9 +165,9 @@
     }
 
     fn poll_endpoint(&mut self) {
-        self.endpoint.poll(self.started.elapsed());
+        self.endpoint.poll(self.started_at.elapsed());
         self.send_outgoing();
-        if !self.established && self.endpoint.established() {
+        if !self.established && self.endpoint.is_established() {
             self.established = true;
             self.deadline = None;
             self.observer.established();
@@ -179,9 +180,9 @@
         }
     }
 
-    fn check_end(&mut self, packets_closed: bool) -> Option<SpliceEnd> {
+    fn detect_end(&mut self, packets_closed: bool) -> Option<SpliceEnd> {
         if packets_closed && !self.established {
-            // Nothing has run, and the peer may not exist: no reset.
+            // No data has been exchanged, and the peer may not exist, so no reset is sent.
             return Some(SpliceEnd::NeverOpened);
         }
         if packets_closed {
@@ -193,14 +194,14 @@
             return Some(SpliceEnd::NeverOpened);
         }
         let both_closed =
-            self.from_peer == Direction::Closed && self.from_stream == Direction::Closed;
+            self.from_peer == DirectionState::Closed && self.from_stream == DirectionState::Closed;
         if both_closed && !self.finished {
             self.finished = true;
-            // The back end's connection must not wait for the peer's late packets.
+            // Closes the back end's connection without waiting for late packets of the peer.
             self.stream = None;
             self.observer.finished();
         }
-        if !self.endpoint.is_closed() || self.has_undelivered_end() {
+        if !self.endpoint.is_closed() || self.has_undelivered_data() {
             return None;
         }
         Some(match (both_closed, self.established) {
@@ -210,38 +211,38 @@
         })
     }
 
-    /// Whether the connection ended in order on both sides while the stream has
-    /// not taken all that the peer sent.
-    fn has_undelivered_end(&self) -> bool {
-        self.from_stream == Direction::Closed
-            && self.from_peer == Direction::Open
-            && self.endpoint.peer_finished()
+    /// Whether both sides have closed the connection in an orderly way, but the stream has not yet
+    /// received all of the peer's data and its end.
+    fn has_undelivered_data(&self) -> bool {
+        self.from_stream == DirectionState::Closed
+            && self.from_peer == DirectionState::Open
+            && self.endpoint.has_peer_finished()
     }
 
-    fn move_bytes(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
+    fn copy_bytes(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
         if !self.established || self.stream.is_none() {
             return Ok(false);
         }
-        let to_stream = self.move_to_stream(context)?;
-        let to_peer = self.move_to_peer(context)?;
+        let to_stream = self.copy_to_stream(context)?;
+        let to_peer = self.copy_to_peer(context)?;
         Ok(to_stream || to_peer)
     }
 
-    fn move_to_stream(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
+    fn copy_to_stream(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
         let Some(stream) = self.stream.as_mut() else {
             return Ok(false);
         };
-        if self.from_peer == Direction::Closed {
+        if self.from_peer == DirectionState::Closed {
             return Ok(false);
         }
         if self.pending.is_empty() {
-            let mut chunk = [0; CHUNK];
+            let mut chunk = [0; CHUNK_BYTES];
             match self.endpoint.read(&mut chunk) {
                 ReadOutcome::Read(length) => self.pending.extend_from_slice(&chunk[..length]),
                 ReadOutcome::Empty | ReadOutcome::Reset => return Ok(false),
                 ReadOutcome::Finished => {
                     if Pin::new(stream).poll_shutdown(context)?.is_ready() {
-                        self.from_peer = Direction::Closed;
+                        self.from_peer = DirectionState::Closed;
                         return Ok(true);
                     }
                     return Ok(false);
@@ -260,28 +261,29 @@
         }
     }
 
-    /// An idle flow keeps no buffer besides the endpoint's own.
+    /// Frees the buffer once it is empty, so that an idle flow holds no memory besides the endpoint's
+    /// own buffers.
     fn release_pending(&mut self) {
         if self.pending.is_empty() {
             self.pending = Vec::new();
         }
     }
 
-    fn move_to_peer(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
+    fn copy_to_peer(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
         let Some(stream) = self.stream.as_mut() else {
             return Ok(false);
         };
-        let room = self.endpoint.send_room();
-        if room == 0 || self.from_stream == Direction::Closed {
+        let writable = self.endpoint.writable_bytes();
+        if writable == 0 || self.from_stream == DirectionState::Closed {
             return Ok(false);
         }
-        let mut chunk = [0; CHUNK];
-        let mut buffer = ReadBuf::new(&mut chunk[..room.min(CHUNK)]);
+        let mut chunk = [0; CHUNK_BYTES];
+        let mut buffer = ReadBuf::new(&mut chunk[..writable.min(CHUNK_BYTES)]);
         match Pin::new(stream).poll_read(context, &mut buffer)? {
             Poll::Pending => Ok(false),
             Poll::Ready(()) if buffer.filled().is_empty() => {
                 self.endpoint.close();
-                self.from_stream = Direction::Closed;
+                self.from_stream = DirectionState::Closed;
                 Ok(true)
             }
             Poll::Ready(()) => {
@@ -292,10 +294,10 @@
         }
     }
 
-    fn arm_timer(&mut self) {
+    fn reset_timer(&mut self) {
         let now = Instant::now();
-        let delay = self.endpoint.next_poll(self.started.elapsed()).unwrap_or(LONGEST_SLEEP);
-        let mut wake = now + delay.min(LONGEST_SLEEP);
+        let delay = self.endpoint.next_poll(self.started_at.elapsed()).unwrap_or(MAXIMUM_SLEEP);
+        let mut wake = now + delay.min(MAXIMUM_SLEEP);
         if let Some(deadline) = self.deadline {
             wake = wake.min(deadline);
         }
--- a/crates/stack/tests/first_data.rs
+++ b/crates/stack/tests/first_data.rs
@@ -1,5 +1,5 @@
-//! A half-open endpoint takes the caller's first data in whatever order it comes with the
-//! packets that were sent after it. Time is passed in.
+//! A half-open endpoint accepts the client's first data regardless of how it is reordered with
+//! packets that were sent later. The test passes in the time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 
 const BUFFERS: BufferSizes = BufferSizes { receive: 4 << 10, send: 4 << 10 };
 const REQUEST: &[u8] = &[7; 85];
-/// Time between two polls.
+/// Interval between two polls.
 const STEP: Duration = Duration::from_millis(50);
-/// Polls in which the caller repeats its request and the service its answer.
+/// Number of polls during which the client retransmits its request and the service its SYN-ACK.
 const STEPS: u32 = 100;
 
 fn options(seed: u64, with_timestamps: bool) -> EndpointOptions {
@@ -25,77 +25,87 @@
     }
 }
 
-struct Ends {
-    caller: TcpEndpoint,
+struct Endpoints {
+    client: TcpEndpoint,
     service: TcpEndpoint,
 }
 
-/// A caller that has taken up the service's answer and sent its request, of which nothing has
-/// reached the service. Returns what the caller has sent since, later packets last.
-fn half_open() -> (Ends, Vec<Vec<u8>>) {
-    let caller_address: SocketAddr = "198.18.0.1:40000".parse().expect("address");
+/// Returns two endpoints of which the client has received the SYN-ACK and sent its request, while
+/// none of its packets since the SYN has reached the service; and these packets in sending order.
+fn half_open() -> (Endpoints, Vec<Vec<u8>>) {
+    let client_address: SocketAddr = "198.18.0.1:40000".parse().expect("address");
     let service_address: SocketAddr = "203.0.113.10:8443".parse().expect("address");
-    let caller = TcpEndpoint::connect(caller_address, service_address, options(1, false));
+    let client = TcpEndpoint::connect(client_address, service_address, options(1, false));
     let service = TcpEndpoint::listen(service_address, options(2, true));
-    let mut ends = Ends { caller: caller.expect("endpoint"), service: service.expect("endpoint") };
+    let mut endpoints =
+        Endpoints { client: client.expect("endpoint"), service: service.expect("endpoint") };
     let mut now = Duration::ZERO;
-    ends.caller.poll(now);
-    for packet in ends.caller.take_outgoing() {
-        ends.service.receive(packet);
+    endpoints.client.poll(now);
+    for packet in endpoints.client.take_outgoing() {
+        endpoints.service.receive(packet);
     }
     let mut sent = Vec::new();
-    let mut has_written = false;
+    let mut request_written = false;
     for _ in 0..STEPS {
-        ends.service.poll(now);
-        for packet in ends.service.take_outgoing() {
-            ends.caller.receive(packet);
+        endpoints.service.poll(now);
+        for packet in endpoints.service.take_outgoing() {
+            endpoints.client.receive(packet);
         }
-        ends.caller.poll(now);
-        if ends.caller.established() && !has_written {
-            has_written = true;
-            assert_eq!(ends.caller.write(REQUEST), REQUEST.len());
-            ends.caller.poll(now);
+        endpoints.client.poll(now);
+        if endpoints.client.is_established() && !request_written {
+            request_written = true;
+            assert_eq!(endpoints.client.write(REQUEST), REQUEST.len());
+            endpoints.client.poll(now);
         }
-        sent.extend(ends.caller.take_outgoing());
+        sent.extend(endpoints.client.take_outgoing());
         now += STEP;
     }
-    (ends, sent)
+    (endpoints, sent)
 }
 
 fn payload_length(packet: &[u8]) -> usize {
-    match decode_packet(packet).expect("sound").transport {
+    match decode_packet(packet).expect("valid packet").transport {
         Transport::Tcp(segment) => segment.payload_length,
         Transport::Udp(_) => 0,
     }
 }
 
-/// Bytes that the service reads once these packets came in this order.
+/// Returns the number of bytes that the service reads after receiving these packets in this order.
 fn read_after(packets: &[Vec<u8>]) -> usize {
-    let (mut ends, _) = half_open();
+    let (mut endpoints, _) = half_open();
     let now = STEP * STEPS;
     for packet in packets {
-        ends.service.receive(packet.clone());
+        endpoints.service.receive(packet.clone());
     }
-    ends.service.poll(now);
+    endpoints.service.poll(now);
     let mut buffer = [0; 256];
-    match ends.service.read(&mut buffer) {
+    match endpoints.service.read(&mut buffer) {
         ReadOutcome::Read(length) => length,
         _ => 0,
     }
 }
 
 #[test]
-fn the_first_request_is_taken_before_and_after_later_acknowledgments() {
+fn reordered_first_request_is_accepted() {
     let (_, sent) = half_open();
-    let data = sent.iter().rfind(|packet| payload_length(packet) > 0).expect("repeated");
-    let later = sent.iter().rfind(|packet| payload_length(packet) == 0).expect("acknowledged");
-    let first = sent.iter().find(|packet| payload_length(packet) == 0).expect("acknowledged");
+    let data = sent
+        .iter()
+        .rfind(|packet| payload_length(packet) > 0)
+        .expect("client retransmits its request");
+    let last_acknowledgment = sent
+        .iter()
+        .rfind(|packet| payload_length(packet) == 0)
+        .expect("client sends an acknowledgment");
+    let first_acknowledgment = sent
+        .iter()
+        .find(|packet| payload_length(packet) == 0)
+        .expect("client sends an acknowledgment");
     let orders: [&[&Vec<u8>]; 5] = [
         &[data],
-        &[data, later, later],
-        &[later, data],
-        &[later, later, data, later],
-        &[first, data],
+        &[data, last_acknowledgment, last_acknowledgment],
+        &[last_acknowledgment, data],
+        &[last_acknowledgment, last_acknowledgment, data, last_acknowledgment],
+        &[first_acknowledgment, data],
     ];
     for order in orders {
         let packets: Vec<Vec<u8>> = order.iter().map(|packet| (*packet).clone()).collect();
--- a/crates/stack/tests/splice.rs
+++ b/crates/stack/tests/splice.rs
@@ -1,5 +1,5 @@
-//! Two endpoints carry bytes between two streams through lost handshakes, half
-//! closes and resets. Time is paused: it jumps, so that no test waits.
+//! Two spliced endpoints transfer bytes between two streams despite lost handshake packets, half
+//! closes and resets. The tests run with paused time, which advances without waiting.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,19 +12,19 @@
     BufferSizes, EndpointOptions, NoObserver, PacketSink, SpliceEnd, TcpEndpoint, splice,
 };
 
-const CALLER: &str = "198.18.0.1:40000";
+const CLIENT: &str = "198.18.0.1:40000";
 const SERVICE: &str = "203.0.113.10:8443";
 const BUFFERS: BufferSizes = BufferSizes { receive: 4 << 10, send: 4 << 10 };
 const HANDSHAKE: Duration = Duration::from_secs(30);
 
-/// Decides which packets are lost; counts from 0 per direction.
+/// Whether the packet with this number, counted from 0 in each direction, is lost.
 type Loss = fn(usize) -> bool;
 
-/// Carries packets to the other end and remembers which were resets.
+/// Delivers packets to the other endpoint and counts the resets among them.
 struct Wire {
     peer: mpsc::Sender<Vec<u8>>,
     sent: usize,
-    lost: Loss,
+    is_lost: Loss,
     resets: Arc<Mutex<usize>>,
 }
 
@@ -32,11 +32,11 @@
     fn send(&mut self, packet: &[u8]) {
         let number = self.sent;
         self.sent += 1;
-        let view = decode_packet(packet).expect("own packets are sound");
+        let view = decode_packet(packet).expect("endpoint sends valid packets");
         if matches!(view.transport, Transport::Tcp(segment) if segment.reset) {
             *self.resets.lock().expect("resets") += 1;
         }
-        if !(self.lost)(number) {
+        if !(self.is_lost)(number) {
             let _ = self.peer.try_send(packet.to_vec());
         }
     }
@@ -53,69 +53,69 @@
 }
 
 struct Pair {
-    caller: DuplexStream,
+    client: DuplexStream,
     service: DuplexStream,
-    caller_end: JoinHandle<SpliceEnd>,
+    client_end: JoinHandle<SpliceEnd>,
     service_end: JoinHandle<SpliceEnd>,
     service_resets: Arc<Mutex<usize>>,
-    /// Keeps both packet queues open after one side has ended.
+    /// Keeps both packet queues open after one splice has ended.
     queues: [mpsc::Sender<Vec<u8>>; 2],
 }
 
-fn connect(caller_loses: Loss, service_loses: Loss) -> Pair {
-    let (to_caller, mut caller_queue) = mpsc::channel(256);
+fn connect(client_loses: Loss, service_loses: Loss) -> Pair {
+    let (to_client, mut client_queue) = mpsc::channel(256);
     let (to_service, mut service_queue) = mpsc::channel(256);
-    let (caller, caller_far) = duplex(1 << 10);
+    let (client, client_far) = duplex(1 << 10);
     let (service, service_far) = duplex(1 << 10);
     let service_resets = Arc::new(Mutex::new(0));
-    let queues = [to_caller.clone(), to_service.clone()];
-    let caller_wire =
-        Wire { peer: to_service, sent: 0, lost: caller_loses, resets: Arc::default() };
+    let queues = [to_client.clone(), to_service.clone()];
+    let client_wire =
+        Wire { peer: to_service, sent: 0, is_lost: client_loses, resets: Arc::default() };
     let service_wire =
-        Wire { peer: to_caller, sent: 0, lost: service_loses, resets: service_resets.clone() };
-    let caller_address = CALLER.parse().expect("address");
+        Wire { peer: to_client, sent: 0, is_lost: service_loses, resets: service_resets.clone() };
+    let client_address = CLIENT.parse().expect("address");
     let service_address = SERVICE.parse().expect("address");
     let connecting =
-        TcpEndpoint::connect(caller_address, service_address, options(1)).expect("endpoint");
+        TcpEndpoint::connect(client_address, service_address, options(1)).expect("endpoint");
     let listening = TcpEndpoint::listen(service_address, options(2)).expect("endpoint");
-    let caller_end = tokio::spawn(async move {
-        splice(connecting, caller_far, &mut caller_queue, caller_wire, NoObserver, HANDSHAKE).await
+    let client_end = tokio::spawn(async move {
+        splice(connecting, client_far, &mut client_queue, client_wire, NoObserver, HANDSHAKE).await
     });
     let service_end = tokio::spawn(async move {
         splice(listening, service_far, &mut service_queue, service_wire, NoObserver, HANDSHAKE)
             .await
     });
-    Pair { caller, service, caller_end, service_end, service_resets, queues }
+    Pair { client, service, client_end, service_end, service_resets, queues }
 }
 
-async fn request_and_answer(pair: &mut Pair) {
-    pair.caller.write_all(b"question").await.expect("write");
+async fn exchange_request_and_response(pair: &mut Pair) {
+    pair.client.write_all(b"question").await.expect("write");
     let mut question = [0; 8];
     pair.service.read_exact(&mut question).await.expect("read");
     assert_eq!(&question, b"question");
     pair.service.write_all(b"answer").await.expect("write");
     let mut answer = [0; 6];
-    pair.caller.read_exact(&mut answer).await.expect("read");
+    pair.client.read_exact(&mut answer).await.expect("read");
     assert_eq!(&answer, b"answer");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_flow_carries_bytes_both_ways_and_closes_in_order() {
+async fn flow_transfers_both_ways_and_closes_orderly() {
     let mut pair = connect(|_| false, |_| false);
-    request_and_answer(&mut pair).await;
-    drop(pair.caller);
+    exchange_request_and_response(&mut pair).await;
+    drop(pair.client);
     let mut rest = Vec::new();
     pair.service.read_to_end(&mut rest).await.expect("end");
     drop(pair.service);
-    assert_eq!(pair.caller_end.await.expect("caller"), SpliceEnd::Closed);
+    assert_eq!(pair.client_end.await.expect("client"), SpliceEnd::Closed);
     assert_eq!(pair.service_end.await.expect("service"), SpliceEnd::Closed);
 }
 
 #[tokio::test(start_paused = true)]
-async fn half_close_leaves_the_other_direction_open() {
+async fn half_close_keeps_other_direction_open() {
     let mut pair = connect(|_| false, |_| false);
-    pair.caller.write_all(b"all I have").await.expect("write");
-    pair.caller.shutdown().await.expect("shutdown");
+    pair.client.write_all(b"all I have").await.expect("write");
+    pair.client.shutdown().await.expect("shutdown");
     let mut received = Vec::new();
     pair.service.read_to_end(&mut received).await.expect("end");
     assert_eq!(received, b"all I have");
@@ -127,52 +127,52 @@
         service.write_all(&answer).await.expect("write");
     });
     let mut received = Vec::new();
-    pair.caller.read_to_end(&mut received).await.expect("end");
+    pair.client.read_to_end(&mut received).await.expect("end");
     writer.await.expect("writer");
-    assert!(received == long, "the whole answer arrives after the half close");
+    assert!(received == long, "the complete response arrives after the half close");
 }
 
-/// The fault behind the first broken flow that rehearsals found: the caller
-/// takes the flow for open while its packets are lost for several seconds.
+/// Guards against broken flows when the client considers the flow open while its packets are lost
+/// for several seconds.
 #[tokio::test(start_paused = true)]
-async fn a_handshake_survives_seconds_of_loss() {
-    // The SYN passes; the next packets, sent over about 7 s, do not.
+async fn handshake_survives_seconds_of_loss() {
+    // The SYN is delivered; the next packets, sent over about 7 s, are lost.
     let mut pair = connect(|number| (1..6).contains(&number), |_| false);
-    request_and_answer(&mut pair).await;
+    exchange_request_and_response(&mut pair).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn every_third_packet_lost_both_ways_loses_no_byte() {
+async fn bytes_arrive_despite_loss_of_every_third_packet() {
     let mut pair = connect(|number| number % 3 == 1, |number| number % 3 == 2);
     for _ in 0..20 {
-        request_and_answer(&mut pair).await;
+        exchange_request_and_response(&mut pair).await;
     }
 }
 
-/// Two agents may answer one opening packet. The caller acknowledges the other
-/// one's sequence number: this one must stay silent.
+/// Two agents may answer one opening packet. If the client acknowledges the sequence number of the
+/// other agent, this one must not send a reset.
 #[tokio::test(start_paused = true)]
-async fn an_endpoint_that_lost_the_race_never_resets() {
-    let (to_loser, mut loser_queue) = mpsc::channel(16);
+async fn unacknowledged_listener_sends_no_reset() {
+    let (to_endpoint, mut endpoint_queue) = mpsc::channel(16);
     let (_stream, far) = duplex(64);
     let resets = Arc::new(Mutex::new(0));
     let (peer, mut answers) = mpsc::channel(16);
-    let wire = Wire { peer, sent: 0, lost: |_| false, resets: resets.clone() };
+    let wire = Wire { peer, sent: 0, is_lost: |_| false, resets: resets.clone() };
     let service = SERVICE.parse().expect("address");
     let listening = TcpEndpoint::listen(service, options(3)).expect("endpoint");
     let end = tokio::spawn(async move {
-        splice(listening, far, &mut loser_queue, wire, NoObserver, HANDSHAKE).await
+        splice(listening, far, &mut endpoint_queue, wire, NoObserver, HANDSHAKE).await
     });
-    to_loser.send(caller_segment(true, 0)).await.expect("sent");
+    to_endpoint.send(client_segment(true, 0)).await.expect("sent");
     assert!(answers.recv().await.is_some(), "the opening packet is answered");
     for acknowledgment in [1, 77, 0xFFFF_0000] {
-        to_loser.send(caller_segment(false, acknowledgment)).await.expect("sent");
+        to_endpoint.send(client_segment(false, acknowledgment)).await.expect("sent");
     }
-    assert_eq!(end.await.expect("loser"), SpliceEnd::NeverOpened);
+    assert_eq!(end.await.expect("unacknowledged endpoint"), SpliceEnd::NeverOpened);
     assert_eq!(*resets.lock().expect("resets"), 0);
 }
 
-fn caller_segment(syn: bool, acknowledgment: u32) -> Vec<u8> {
+fn client_segment(syn: bool, acknowledgment: u32) -> Vec<u8> {
     let step = etherparse::PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, 10], 64).tcp(
         40_000,
         8_443,
@@ -186,22 +186,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failing_stream_resets_the_caller() {
+async fn failed_stream_resets_client() {
     let mut pair = connect(|_| false, |_| false);
-    request_and_answer(&mut pair).await;
+    exchange_request_and_response(&mut pair).await;
     drop(pair.service);
-    // The caller may learn of the reset while it still writes.
-    let _ = pair.caller.write_all(&[1; 4_000]).await;
+    // The write may fail because the reset can arrive during it.
+    let _ = pair.client.write_all(&[1; 4_000]).await;
     assert_eq!(pair.service_end.await.expect("service"), SpliceEnd::StreamFailed);
-    assert_eq!(pair.caller_end.await.expect("caller"), SpliceEnd::PeerReset);
+    assert_eq!(pair.client_end.await.expect("client"), SpliceEnd::PeerReset);
     assert!(*pair.service_resets.lock().expect("resets") >= 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dropped_queue_resets_an_open_flow() {
+async fn dropped_queue_resets_open_flow() {
     let mut pair = connect(|_| false, |_| false);
-    request_and_answer(&mut pair).await;
-    pair.caller_end.abort();
+    exchange_request_and_response(&mut pair).await;
+    pair.client_end.abort();
     drop(pair.queues);
     assert_eq!(pair.service_end.await.expect("service"), SpliceEnd::Cancelled);
     assert_eq!(*pair.service_resets.lock().expect("resets"), 1);
