--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -1,13 +1,13 @@
-//! A balancer between clients and targets that a test answers for.
+//! A balancer whose clients and targets are played by the test.
 
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{ReturnReason, TargetState, ZoneId};
-use weirhinge_steering::{Balancer, ClientPacket, Context, Decision, FleetView, PacketHead};
+use weirhinge_steering::{Balancer, ClientPacket, Context, Decision, FleetView, PacketHeader};
 
 use super::{SERVICE, Store, agent, claim, flow, forwarded, opening};
 
-/// Long after the start, when nothing is unsettled.
+/// A time long after the start, when all settling times are over.
 pub const LATER: u64 = 100_000;
 
 pub struct Fixture {
@@ -25,106 +25,116 @@
         Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 }
     }
 
-    /// The balancer, and what it decides from beside its own state.
+    /// Returns the balancer and the context of its decisions.
     fn parts(&mut self, now: u64) -> (&mut Balancer, Context<'_>) {
         let context =
             Context { view: &self.view, fresh: self.fresh, helpers: &[], now, unix_ms: 0 };
         (&mut self.balancer, context)
     }
 
-    /// Decides about a client's packet without the time for unknown flows.
-    pub fn pressed(&mut self, head: &PacketHead, helpers: &[Ipv4Addr], now: u64) -> Decision {
+    /// Decides a client's packet while helpers take over unknown flows.
+    pub fn client_with_helpers(
+        &mut self,
+        header: &PacketHeader,
+        helpers: &[Ipv4Addr],
+        now: u64,
+    ) -> Decision {
         let (balancer, context) = self.parts(now);
         let context = Context { helpers, ..context };
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.handle_client_packet(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    pub fn client(&mut self, head: &PacketHead, now: u64) -> Decision {
+    pub fn client(&mut self, header: &PacketHeader, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.client_packet(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.handle_client_packet(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    /// An agent sends a packet back that it got without a grant.
+    /// An agent returns a packet that was sent without a grant.
     pub fn returned(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(head, from, reason, false, now)
+        self.return_packet(header, from, reason, false, now)
     }
 
-    /// An agent sends an opening packet back that it got with a grant.
+    /// An agent returns an opening packet that was sent for a grant.
     pub fn returned_granted(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         now: u64,
     ) -> Decision {
-        self.returned_of(head, from, reason, true, now)
+        self.return_packet(header, from, reason, true, now)
     }
 
-    fn returned_of(
+    fn return_packet(
         &mut self,
-        head: &PacketHead,
+        header: &PacketHeader,
         from: Ipv4Addr,
         reason: ReturnReason,
         granted: bool,
         now: u64,
     ) -> Decision {
         let (balancer, context) = self.parts(now);
-        let packet = ClientPacket { head, bytes: b"packet" };
-        balancer.returned_packet(&context, packet, from, reason, granted)
+        let packet = ClientPacket { header, bytes: b"packet" };
+        balancer.handle_returned_packet(&context, packet, from, reason, granted)
     }
 
-    pub fn bounced(&mut self, head: &PacketHead, from: Ipv4Addr, now: u64) -> Decision {
-        self.returned(head, from, ReturnReason::Bounced, now)
+    pub fn bounced(&mut self, header: &PacketHeader, from: Ipv4Addr, now: u64) -> Decision {
+        self.returned(header, from, ReturnReason::Bounced, now)
     }
 
-    /// An agent in zone `a` says that a target of the service works beside it.
-    pub fn claimed(&mut self, agent: Ipv4Addr, now: u64) {
-        self.balancer.claimed(agent, ZoneId::of("a"), &claim(SERVICE), now);
+    /// An agent in zone `a` reports a live target of the service.
+    pub fn note_target_status(&mut self, agent: Ipv4Addr, now: u64) {
+        self.balancer.note_target_status(agent, ZoneId::of("a"), &claim(SERVICE), now);
     }
 
-    pub fn search_again(&mut self, head: &PacketHead, now: u64) -> Decision {
+    pub fn continue_search(&mut self, header: &PacketHeader, now: u64) -> Decision {
         let (balancer, context) = self.parts(now);
-        balancer.search_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.continue_search(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    pub fn due_undecided(&mut self, now: u64) -> Vec<(PacketHead, Vec<u8>)> {
+    pub fn due_undecided(&mut self, now: u64) -> Vec<(PacketHeader, Vec<u8>)> {
         let (balancer, context) = self.parts(now);
         balancer.due_undecided(&context)
     }
 
-    pub fn decide_again(&mut self, head: &PacketHead, now: u64) -> Option<Decision> {
+    pub fn retry_undecided(&mut self, header: &PacketHeader, now: u64) -> Option<Decision> {
         let (balancer, context) = self.parts(now);
-        balancer.decide_again(&context, ClientPacket { head, bytes: b"packet" })
+        balancer.retry_undecided(&context, ClientPacket { header, bytes: b"packet" })
     }
 
-    /// Opens a flow and lets the chosen target answer.
+    /// Opens a flow, and the selected target answers. Returns its agent.
     pub fn open(&mut self, port: u16, now: u64) -> Ipv4Addr {
-        let chosen = forwarded(&self.client(&opening(flow(port)), now)).agent;
-        self.balancer.holds(flow(port), chosen, false, 0, now);
-        chosen
+        let selected = forwarded(&self.client(&opening(flow(port)), now)).agent;
+        self.balancer.note_holder(flow(port), selected, false, 0, now);
+        selected
     }
 
-    /// Bounces a packet until the balancer no longer forwards it.
-    pub fn bounce_to_the_end(&mut self, head: &PacketHead, now: u64) -> (Vec<Ipv4Addr>, Decision) {
+    /// Bounces a packet until the balancer no longer forwards it. Returns the agents visited and
+    /// the last decision.
+    pub fn bounce_until_search_ends(
+        &mut self,
+        header: &PacketHeader,
+        now: u64,
+    ) -> (Vec<Ipv4Addr>, Decision) {
         let mut visited = Vec::new();
-        let mut decision = self.client(head, now);
+        let mut decision = self.client(header, now);
         while let Decision::Forward(forward) = &decision {
             visited.push(forward.agent);
-            assert!(visited.len() < 100, "the walk ends");
-            decision = self.bounced(head, *visited.last().expect("pushed"), now);
+            assert!(visited.len() < 100, "the search does not end");
+            decision = self.bounced(header, *visited.last().expect("an agent was pushed"), now);
         }
         (visited, decision)
     }
 }
 
-/// Six targets, half of them in another zone, which some views take for another region.
-pub fn two_groups() -> Store {
+/// Six targets, half of them in zone `b`, which some views place in another region.
+pub fn targets_in_two_zones() -> Store {
     let mut store = Store::with_targets(3);
     for number in 51..=53 {
         store.target(number, SERVICE, Some(TargetState::Ready), 0);
