--- a/crates/agent/src/tcp_flow.rs
+++ b/crates/agent/src/tcp_flow.rs
@@ -54,7 +54,7 @@
 }
 
 impl FlowObserver for Observer {
-    fn established(&mut self) {
+    fn on_established(&mut self) {
         // The main loop is gone only when the process is ending.
         let _ = self
             .events
@@ -63,15 +63,15 @@
         self.in_flight.caller_sent();
     }
 
-    fn peer_sent(&mut self) {
+    fn on_peer_data(&mut self) {
         self.in_flight.caller_sent();
     }
 
-    fn stream_sent(&mut self) {
+    fn on_stream_data(&mut self) {
         self.in_flight.back_end_sent();
     }
 
-    fn finished(&mut self) {
+    fn on_finished(&mut self) {
         self.in_flight.back_end_sent();
     }
 }
--- a/crates/rehearsal/src/standin/caller.rs
+++ b/crates/rehearsal/src/standin/caller.rs
@@ -74,7 +74,7 @@
 struct OpenObserver(Option<oneshot::Sender<()>>);
 
 impl FlowObserver for OpenObserver {
-    fn established(&mut self) {
+    fn on_established(&mut self) {
         if let Some(opened) = self.0.take() {
             let _ = opened.send(());
         }
--- a/crates/stack/src/endpoint.rs
+++ b/crates/stack/src/endpoint.rs
@@ -205,7 +205,7 @@
     }
 
     /// Returns the delay until the next poll is due, if any timer is set.
-    pub fn next_poll(&mut self, now: Duration) -> Option<Duration> {
+    pub fn poll_delay(&mut self, now: Duration) -> Option<Duration> {
         let delay = self.interface.poll_delay(stack_instant(now), &self.sockets)?;
         Some(Duration::from_micros(delay.total_micros()))
     }
--- a/crates/stack/src/splice.rs
+++ b/crates/stack/src/splice.rs
@@ -27,14 +27,14 @@
 /// Receives the events of a flow.
 pub trait FlowObserver: Send {
     /// Called when the handshake with the peer completes.
-    fn established(&mut self) {}
+    fn on_established(&mut self) {}
     /// Called when bytes from the peer were written to the stream.
-    fn peer_sent(&mut self) {}
+    fn on_peer_data(&mut self) {}
     /// Called when bytes from the stream were queued for the peer.
-    fn stream_sent(&mut self) {}
+    fn on_stream_data(&mut self) {}
     /// Called once, when both directions are closed or the flow ends otherwise. After an orderly
     /// close, late packets of the peer may still arrive.
-    fn finished(&mut self) {}
+    fn on_finished(&mut self) {}
 }
 
 /// A [`FlowObserver`] that ignores all events.
@@ -116,7 +116,7 @@
     let end = poll_fn(|context| splice.step(context)).await;
     splice.send_outgoing();
     if !splice.finished {
-        splice.observer.finished();
+        splice.observer.on_finished();
     }
     end
 }
@@ -170,7 +170,7 @@
         if !self.established && self.endpoint.is_established() {
             self.established = true;
             self.deadline = None;
-            self.observer.established();
+            self.observer.on_established();
         }
     }
 
@@ -199,7 +199,7 @@
             self.finished = true;
             // Closes the back end's connection without waiting for late packets of the peer.
             self.stream = None;
-            self.observer.finished();
+            self.observer.on_finished();
         }
         if !self.endpoint.is_closed() || self.has_undelivered_data() {
             return None;
@@ -253,7 +253,7 @@
             Poll::Ready(0) => Err(io::ErrorKind::WriteZero.into()),
             Poll::Ready(written) => {
                 self.pending.drain(..written);
-                self.observer.peer_sent();
+                self.observer.on_peer_data();
                 self.release_pending();
                 Ok(true)
             }
@@ -288,7 +288,7 @@
             }
             Poll::Ready(()) => {
                 self.endpoint.write(buffer.filled());
-                self.observer.stream_sent();
+                self.observer.on_stream_data();
                 Ok(true)
             }
         }
@@ -296,7 +296,7 @@
 
     fn reset_timer(&mut self) {
         let now = Instant::now();
-        let delay = self.endpoint.next_poll(self.started_at.elapsed()).unwrap_or(MAXIMUM_SLEEP);
+        let delay = self.endpoint.poll_delay(self.started_at.elapsed()).unwrap_or(MAXIMUM_SLEEP);
         let mut wake = now + delay.min(MAXIMUM_SLEEP);
         if let Some(deadline) = self.deadline {
             wake = wake.min(deadline);
