--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -74,7 +74,7 @@
         // The parser's own message is dropped: it would quote the line that holds the secret.
         let keys: KeysFile = toml::from_str(text).map_err(|_| ConfigError::Syntax {
             file: file.to_owned(),
-            message: "expected flow_hash = \"32 hexadecimal digits\" and, if wanted, \
+            message: "expected flow_hash = \"32 hexadecimal digits\" and, optionally, \
                       control = [\"64 hexadecimal digits\", ...]"
                 .to_owned(),
         })?;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -227,7 +227,12 @@
 
 fn reject_field(file: &str, field: &str, present: bool) -> Result<(), ConfigError> {
     if present {
-        return Err(ConfigError::field(file, field, "a value", "no such field for this role"));
+        return Err(ConfigError::field(
+            file,
+            field,
+            "a value",
+            "no value, as this role has no such field",
+        ));
     }
     Ok(())
 }
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -138,7 +138,7 @@
     assert_snapshot!(rejected(|settings| settings.target = None), @"agent.toml: field target: found nothing, expected a target's id");
     assert_snapshot!(rejected(|settings| settings.fabric = Some("fabric:1".to_owned())), @r#"agent.toml: field fabric: found "fabric:1", expected an IP address and port, such as 127.0.0.1:7000"#);
     assert_snapshot!(rejected(|settings| settings.candidates = Some(0)), @"agent.toml: field candidates: found 0, expected a number from 1 to 8");
-    assert_snapshot!(rejected(|settings| settings.batch = Some(8)), @"agent.toml: field batch: found a value, expected no such field for this role");
+    assert_snapshot!(rejected(|settings| settings.batch = Some(8)), @"agent.toml: field batch: found a value, expected no value, as this role has no such field");
 }
 
 proptest! {
--- a/crates/stack/src/endpoint.rs
+++ b/crates/stack/src/endpoint.rs
@@ -155,7 +155,7 @@
         })
     }
 
-    /// Queues a packet from the peer. The caller must have verified its checksums.
+    /// Queues a packet from the peer. Its checksums must already be verified.
     pub fn receive(&mut self, mut packet: Vec<u8>) {
         if let Some(shift) = self.sequence_shift {
             shift_acknowledgment(&mut packet, shift.wrapping_neg());
--- a/crates/stack/src/lib.rs
+++ b/crates/stack/src/lib.rs
@@ -1,9 +1,9 @@
 //! A user-space TCP endpoint for one flow, and its splice to a byte stream.
 //!
-//! [`TcpEndpoint`] wraps `smoltcp` without I/O of its own: the caller passes in packets, bytes and
-//! the current time, and takes out packets and bytes. [`splice`] connects one endpoint to any
-//! asynchronous byte stream. Agents use it to connect clients to back ends; the rehearsal uses it
-//! to connect its HTTP clients to the fabric.
+//! [`TcpEndpoint`] wraps `smoltcp` and uses no socket or clock of its own: packets, bytes and the
+//! current time are passed in, packets and bytes are taken out. [`splice`] connects one endpoint to
+//! any asynchronous byte stream. Agents use it to connect clients to back ends; the rehearsal uses
+//! it to connect its HTTP clients to the fabric.
 
 mod device;
 mod endpoint;
--- a/crates/stack/src/splice.rs
+++ b/crates/stack/src/splice.rs
@@ -72,7 +72,8 @@
     sink: K,
     observer: O,
     started_at: Instant,
-    deadline: Option<Instant>,
+    /// End of the time for the handshake; none once it is complete.
+    handshake_deadline: Option<Instant>,
     timer: Pin<Box<Sleep>>,
     /// Bytes received from the peer that have not been written to the stream yet.
     pending: Vec<u8>,
@@ -105,7 +106,7 @@
         sink,
         observer,
         started_at: now,
-        deadline: Some(now + handshake_timeout),
+        handshake_deadline: Some(now + handshake_timeout),
         timer: Box::pin(sleep_until(now)),
         pending: Vec::new(),
         from_peer: DirectionState::Open,
@@ -154,6 +155,7 @@
         }
     }
 
+    /// Passes queued packets to the endpoint. Returns whether the queue is closed.
     fn receive_packets(&mut self, context: &mut Context<'_>) -> bool {
         loop {
             match self.packets.poll_recv(context) {
@@ -169,7 +171,7 @@
         self.send_outgoing();
         if !self.established && self.endpoint.is_established() {
             self.established = true;
-            self.deadline = None;
+            self.handshake_deadline = None;
             self.observer.on_established();
         }
     }
@@ -180,6 +182,7 @@
         }
     }
 
+    /// Returns how the flow ended, if it has.
     fn detect_end(&mut self, packets_closed: bool) -> Option<SpliceEnd> {
         if packets_closed && !self.established {
             // No data has been exchanged, and the peer may not exist, so no reset is sent.
@@ -190,14 +193,14 @@
             self.poll_endpoint();
             return Some(SpliceEnd::Cancelled);
         }
-        if self.deadline.is_some_and(|deadline| deadline <= Instant::now()) {
+        if self.handshake_deadline.is_some_and(|deadline| deadline <= Instant::now()) {
             return Some(SpliceEnd::NeverOpened);
         }
         let both_closed =
             self.from_peer == DirectionState::Closed && self.from_stream == DirectionState::Closed;
         if both_closed && !self.finished {
             self.finished = true;
-            // Closes the back end's connection without waiting for late packets of the peer.
+            // Closes the stream now: a back end's connection must not wait for late packets of the peer.
             self.stream = None;
             self.observer.on_finished();
         }
@@ -219,6 +222,7 @@
             && self.endpoint.has_peer_finished()
     }
 
+    /// Copies bytes in both directions. Returns whether any direction progressed.
     fn copy_bytes(&mut self, context: &mut Context<'_>) -> io::Result<bool> {
         if !self.established || self.stream.is_none() {
             return Ok(false);
@@ -298,7 +302,7 @@
         let now = Instant::now();
         let delay = self.endpoint.poll_delay(self.started_at.elapsed()).unwrap_or(MAXIMUM_SLEEP);
         let mut wake = now + delay.min(MAXIMUM_SLEEP);
-        if let Some(deadline) = self.deadline {
+        if let Some(deadline) = self.handshake_deadline {
             wake = wake.min(deadline);
         }
         self.timer.as_mut().reset(wake);
--- a/crates/stack/tests/splice.rs
+++ b/crates/stack/tests/splice.rs
@@ -21,14 +21,14 @@
 type Loss = fn(usize) -> bool;
 
 /// Delivers packets to the other endpoint and counts the resets among them.
-struct Wire {
+struct LossyLink {
     peer: mpsc::Sender<Vec<u8>>,
     sent: usize,
     is_lost: Loss,
     resets: Arc<Mutex<usize>>,
 }
 
-impl PacketSink for Wire {
+impl PacketSink for LossyLink {
     fn send(&mut self, packet: &[u8]) {
         let number = self.sent;
         self.sent += 1;
@@ -65,24 +65,29 @@
 fn connect(client_loses: Loss, service_loses: Loss) -> Pair {
     let (to_client, mut client_queue) = mpsc::channel(256);
     let (to_service, mut service_queue) = mpsc::channel(256);
-    let (client, client_far) = duplex(1 << 10);
-    let (service, service_far) = duplex(1 << 10);
+    let (client, client_remote) = duplex(1 << 10);
+    let (service, service_remote) = duplex(1 << 10);
     let service_resets = Arc::new(Mutex::new(0));
     let queues = [to_client.clone(), to_service.clone()];
-    let client_wire =
-        Wire { peer: to_service, sent: 0, is_lost: client_loses, resets: Arc::default() };
-    let service_wire =
-        Wire { peer: to_client, sent: 0, is_lost: service_loses, resets: service_resets.clone() };
+    let client_link =
+        LossyLink { peer: to_service, sent: 0, is_lost: client_loses, resets: Arc::default() };
+    let service_link = LossyLink {
+        peer: to_client,
+        sent: 0,
+        is_lost: service_loses,
+        resets: service_resets.clone(),
+    };
     let client_address = CLIENT.parse().expect("address");
     let service_address = SERVICE.parse().expect("address");
     let connecting =
         TcpEndpoint::connect(client_address, service_address, options(1)).expect("endpoint");
     let listening = TcpEndpoint::listen(service_address, options(2)).expect("endpoint");
     let client_end = tokio::spawn(async move {
-        splice(connecting, client_far, &mut client_queue, client_wire, NoObserver, HANDSHAKE).await
+        splice(connecting, client_remote, &mut client_queue, client_link, NoObserver, HANDSHAKE)
+            .await
     });
     let service_end = tokio::spawn(async move {
-        splice(listening, service_far, &mut service_queue, service_wire, NoObserver, HANDSHAKE)
+        splice(listening, service_remote, &mut service_queue, service_link, NoObserver, HANDSHAKE)
             .await
     });
     Pair { client, service, client_end, service_end, service_resets, queues }
@@ -154,14 +159,14 @@
 #[tokio::test(start_paused = true)]
 async fn unacknowledged_listener_sends_no_reset() {
     let (to_endpoint, mut endpoint_queue) = mpsc::channel(16);
-    let (_stream, far) = duplex(64);
+    let (_stream, remote) = duplex(64);
     let resets = Arc::new(Mutex::new(0));
     let (peer, mut answers) = mpsc::channel(16);
-    let wire = Wire { peer, sent: 0, is_lost: |_| false, resets: resets.clone() };
+    let link = LossyLink { peer, sent: 0, is_lost: |_| false, resets: resets.clone() };
     let service = SERVICE.parse().expect("address");
     let listening = TcpEndpoint::listen(service, options(3)).expect("endpoint");
     let end = tokio::spawn(async move {
-        splice(listening, far, &mut endpoint_queue, wire, NoObserver, HANDSHAKE).await
+        splice(listening, remote, &mut endpoint_queue, link, NoObserver, HANDSHAKE).await
     });
     to_endpoint.send(client_segment(true, 0)).await.expect("sent");
     assert!(answers.recv().await.is_some(), "the opening packet is answered");
--- a/crates/udp/src/send.rs
+++ b/crates/udp/src/send.rs
@@ -28,6 +28,7 @@
 /// Reusable buffers for the datagrams of one flush.
 pub struct SendBatch {
     datagrams: Vec<OutgoingDatagram>,
+    /// Number of datagrams at the start of `datagrams` that the next flush sends.
     committed: usize,
     /// Indices of the committed datagrams, grouped by address; datagrams to the same address keep
     /// their order.
