--- a/crates/relay/src/clock.rs
+++ b/crates/relay/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock that all decisions use; the time of day may jump.
+//! The monotonic clock that all decisions use, as the time of day may jump.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -11,18 +11,18 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Self { started: Instant::now() }
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the clock started.
     pub fn now(&self) -> Millis {
         Millis::try_from(self.started.elapsed().as_millis()).unwrap_or(Millis::MAX)
     }
 
-    /// The time of day in milliseconds since 1970; only for what need not agree between
-    /// machines.
+    /// Returns the time of day in milliseconds since 1970. To be used only where machines need
+    /// not agree on the time.
     pub fn unix_ms(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters, gauges and histograms of the relay's daemons.
+//! Metrics of the relay's daemons.
 
 use weirhinge_observe::{Counter, Gauge, Histogram, Metrics, ReasonCounters};
 
-/// What a balancer counts.
+/// Metrics of a balancer.
 #[derive(Clone)]
 pub struct BalancerMetrics {
     /// Packets forwarded, by reason.
@@ -11,26 +11,26 @@
     pub resets: ReasonCounters,
     /// Packets dropped, by reason.
     pub dropped: ReasonCounters,
-    /// Searches put off, as those of other flows used up their part of the link.
+    /// Searches deferred because those of other flows used up the searches' share of the link.
     pub searches_deferred: Counter,
     /// Packets handed off to other balancers.
     pub handed_off: Counter,
     /// Packets that other balancers handed off to this one.
     pub handed_in: Counter,
-    /// Flows remembered.
+    /// Flows in the flow table.
     pub flows: Gauge,
-    /// Seconds from an opening packet's forwarding to the agent's word that its
+    /// Seconds from an opening packet's forwarding to the agent's report that its
     /// target answered.
     pub opening_seconds: Histogram,
-    /// Seconds of one decision.
+    /// Duration of one packet decision in seconds.
     pub decision_seconds: Histogram,
-    /// Opening packets that began to wait here for room.
+    /// Opening packets that began to wait at the balancer for capacity.
     pub openings_queued: Counter,
-    /// Opening packets that wait here for room now.
+    /// Opening packets that wait at the balancer for capacity now.
     pub queue_length: Gauge,
-    /// Seconds for which opening packets that found room waited here.
+    /// Seconds for which opening packets waited at the balancer until they were granted capacity.
     pub queue_seconds: Histogram,
-    /// Grants of room by agents, by what became of them.
+    /// Capacity grants from agents, by whether they were used or declined.
     pub grants: ReasonCounters,
 }
 
@@ -65,36 +65,36 @@
     }
 }
 
-/// What an agent counts.
+/// Metrics of an agent.
 #[derive(Clone)]
 pub struct AgentMetrics {
-    /// Packets handed to the target.
+    /// Packets delivered to the target.
     pub delivered: Counter,
-    /// Packets sent back to balancers, by reason.
+    /// Packets returned to balancers or passed on to other agents, by reason.
     pub returned: ReasonCounters,
-    /// Opening packets that waited for room.
+    /// Opening packets that waited at the agent for capacity.
     pub openings_waited: Counter,
-    /// Grants of room sent to balancers.
+    /// Capacity grants sent to balancers.
     pub grants_sent: Counter,
-    /// Grants that balancers had no use for.
+    /// Grants that balancers declined.
     pub grants_declined: Counter,
-    /// Grants that were not answered in time.
+    /// Grants that balancers did not answer in time.
     pub grants_lapsed: Counter,
-    /// Balancers that ask for room.
+    /// Balancers that request capacity.
     pub balancers_asking: Gauge,
-    /// Packets of the target sent to clients.
+    /// Packets from the target that were sent to clients.
     pub to_clients: Counter,
     /// Packets dropped, by reason.
     pub dropped: ReasonCounters,
-    /// Flows reset as the target lost them when it started again.
+    /// Flows reset because the target lost them when it restarted.
     pub flows_reset: Counter,
-    /// Times that the target was ejected: it failed, and gets no new flows for a while.
+    /// Ejections of the target: it failed, and gets no new flows for a while.
     pub ejections: Counter,
-    /// Whether the target is ejected now.
+    /// Whether the target is ejected now: 1 if so, 0 otherwise.
     pub ejected: Gauge,
-    /// Requests that wait for an answer of the target.
+    /// Requests that wait for an answer from the target.
     pub waiting: Gauge,
-    /// Flows followed.
+    /// Flows that the agent tracks.
     pub flows: Gauge,
 }
 
@@ -123,24 +123,25 @@
     }
 }
 
-/// What both roles count about what they know.
+/// Metrics of both roles about the known state of the fleet and the exchange with peers.
 #[derive(Clone)]
 pub struct FleetMetrics {
-    /// Store revision known.
+    /// Latest known store revision.
     pub revision: Gauge,
-    /// Newest era of the store heard of.
+    /// Newest known era of the store.
     pub era: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the configuration in effect; 0 if none is known.
     pub configuration: Gauge,
-    /// Milliseconds since the store confirmed what is known; -1 if never.
+    /// Milliseconds since the store confirmed the known state; -1 if it never did.
     pub age_ms: Gauge,
-    /// Zones whose targets are to get no new flows.
+    /// Evacuated zones: their targets get no new flows.
     pub zones_evacuated: Gauge,
     /// Fetches from peers, by outcome.
     pub fetches: ReasonCounters,
-    /// Seconds of one fetch from a peer.
+    /// Duration of one fetch from a peer in seconds.
     pub fetch_seconds: Histogram,
-    /// Datagrams of peers refused, by reason.
+    /// Datagrams from peers that were refused, and messages to peers that could not be sent, by
+    /// reason.
     pub refused: ReasonCounters,
 }
 
@@ -161,18 +162,18 @@
     }
 }
 
-/// What the reader of the store counts.
+/// Metrics of the store reader.
 #[derive(Clone)]
 pub struct StoreMetrics {
-    /// Calls made.
+    /// Calls to the store.
     pub calls: Counter,
-    /// Calls that failed.
+    /// Failed calls to the store.
     pub failures: Counter,
-    /// Items that could not be used, by reason; each once as long as it does not change.
+    /// Items that could not be used, by reason. An item counts once as long as it is unchanged.
     pub rejected_items: ReasonCounters,
     /// Listings of all items, by reason.
     pub listings: ReasonCounters,
-    /// Seconds of one call, the wait of a watch included.
+    /// Duration of one call in seconds, including the wait of a watch.
     pub call_seconds: Histogram,
 }
 
