--- a/crates/relay/tests/agent_grants.rs
+++ b/crates/relay/tests/agent_grants.rs
@@ -1,4 +1,4 @@
-//! An agent daemon's answers to a balancer that asks for room, over real sockets.
+//! Capacity grants of an agent daemon to a balancer, over real sockets.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -17,27 +17,27 @@
 };
 use weirhinge_steering::{AnswerStatus, Flags, FlowKey, MalformedPacket, PacketHead};
 
-const CLIENTS_SERVICE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
+const SERVICE_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443);
 const BALANCER: Ipv4Addr = Ipv4Addr::new(127, 0, 77, 2);
 const SERVICE: &str = "sheets";
-/// Room at a target whose size is not known.
-const ROOM: u16 = 4;
-/// Longest wait for a message on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Time from which agents tell of a request that runs.
+/// Capacity of a target whose slots are not known.
+const CAPACITY: u16 = 4;
+/// Timeout for a message; long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that a request runs before the agent reports its duration as service time.
 const LONG_REQUEST: Duration = Duration::from_millis(200);
 
-/// Packets are opening packets that consist of their client's port, or requests with one
-/// byte more.
+/// A platform with a minimal packet format: an opening packet consists of the client's port, and
+/// a request has one more byte.
 #[derive(Clone)]
-struct PortsOnly;
+struct PortPlatform;
 
-impl Platform for PortsOnly {
+impl Platform for PortPlatform {
     fn decode(&self, packet: &[u8]) -> Result<PacketHead, MalformedPacket> {
         let (port, data) = packet.split_first_chunk().ok_or(MalformedPacket::WrongLength)?;
         Ok(PacketHead {
             source: SocketAddrV4::new(BALANCER, u16::from_be_bytes(*port)),
-            destination: CLIENTS_SERVICE,
+            destination: SERVICE_ADDRESS,
             flags: Flags { syn: data.is_empty(), ..Flags::default() },
             sequence: 0,
             acknowledgment: 0,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The balancer's end of the conversation, and the target's input.
+/// The peers of the agent under test: a balancer's socket and the target's input socket.
 struct Peers {
     balancer: UdpSocket,
     agent: SocketAddrV4,
@@ -97,15 +97,17 @@
 impl Peers {
     async fn send(&self, message: &PeerMessage<'_>) {
         let mut buffer = Vec::new();
-        encode(message, &mut buffer).expect("encodes");
-        self.balancer.send_to(&buffer, self.agent).await.expect("sent");
+        encode(message, &mut buffer).expect("encode the message");
+        self.balancer.send_to(&buffer, self.agent).await.expect("send to the agent");
     }
 
-    async fn ask(&self, count: u16) {
+    /// Requests capacity for `count` waiting openings.
+    async fn request_capacity(&self, count: u16) {
         let demand = demand(count);
         self.send(&PeerMessage::Demand { service: ServiceId::of(SERVICE).0, demand }).await;
     }
 
+    /// Sends an opening packet, with or without a grant.
     async fn open(&self, port: u16, granted: Option<OpeningDemand>) {
         self.forward(&port.to_be_bytes(), granted).await;
     }
@@ -121,50 +123,52 @@
         self.send(&forward).await;
     }
 
-    /// The next message of the agent that is about openings.
-    async fn hear<T>(&self, read: impl Fn(PeerMessage<'_>) -> Option<T>) -> T {
+    /// Receives messages from the agent until `read` accepts one.
+    async fn receive<T>(&self, read: impl Fn(PeerMessage<'_>) -> Option<T>) -> T {
         let mut buffer = [0; 2_000];
-        let heard = async {
+        let received = async {
             loop {
-                let length = self.balancer.recv(&mut buffer).await.expect("received");
-                if let Some(told) = read(decode(&buffer[..length]).expect("decodes")) {
-                    return told;
+                let length = self.balancer.recv(&mut buffer).await.expect("receive from the agent");
+                if let Some(value) = read(decode(&buffer[..length]).expect("valid message")) {
+                    return value;
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, heard).await.expect("a message of the agent")
+        tokio::time::timeout(TIMEOUT, received).await.expect("message from the agent in time")
     }
 
-    async fn hear_grant(&self) {
+    async fn expect_grant(&self) {
         let service = ServiceId::of(SERVICE).0;
-        let granted = |message: PeerMessage<'_>| match message {
+        let grant = |message: PeerMessage<'_>| match message {
             PeerMessage::Grant { service, urgent_only, .. } => Some((service, urgent_only)),
-            PeerMessage::Returned { .. } => panic!("expected a grant, got {message:?}"),
+            PeerMessage::Returned { .. } => panic!("expected a grant, received {message:?}"),
             _ => None,
         };
-        assert_eq!(self.hear(granted).await, (service, false));
+        assert_eq!(self.receive(grant).await, (service, false));
     }
 
-    /// Sends an opening packet until the target gets it.
-    async fn open_in_the_end(&self, port: u16) {
+    /// Sends an opening packet until the target receives it.
+    async fn open_with_retries(&self, port: u16) {
         let busy = |message: PeerMessage<'_>| match message {
             PeerMessage::Returned { reason: ReturnReason::Busy, .. } => Some(()),
-            PeerMessage::Returned { .. } => panic!("expected room, got {message:?}"),
+            PeerMessage::Returned { .. } => {
+                panic!("expected delivery or a busy target, received {message:?}")
+            }
             _ => None,
         };
         loop {
             self.open(port, None).await;
             tokio::select! {
-                got = self.target_gets() => return assert_eq!(got, port),
-                () = self.hear(busy) => tokio::time::sleep(Duration::from_millis(5)).await,
+                received = self.receive_at_target() => return assert_eq!(received, port),
+                () = self.receive(busy) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     }
 
-    async fn target_gets(&self) -> u16 {
+    async fn receive_at_target(&self) -> u16 {
         let mut packet = [0; 2];
-        let received = tokio::time::timeout(PATIENCE, self.target.recv(&mut packet)).await;
-        received.expect("a packet for the target").expect("received");
+        let received = tokio::time::timeout(TIMEOUT, self.target.recv(&mut packet)).await;
+        received.expect("packet at the target in time").expect("receive at the target");
         u16::from_be_bytes(packet)
     }
 }
@@ -173,8 +177,8 @@
     OpeningDemand { others: WaitingOpenings { count, oldest_ms: 10 }, ..OpeningDemand::default() }
 }
 
-/// The record of a target with eight slots.
-fn recorded(agent: Ipv4Addr) -> VersionedTarget {
+/// Returns the record of a target with eight slots.
+fn target_record(agent: Ipv4Addr) -> VersionedTarget {
     let record = TargetRecord {
         service: SERVICE.to_owned(),
         address: agent.to_bits(),
@@ -190,8 +194,8 @@
 }
 
 fn free_port(agent: Ipv4Addr) -> u16 {
-    let socket = std::net::TcpListener::bind((agent, 0)).expect("a free port");
-    socket.local_addr().expect("bound").port()
+    let socket = std::net::TcpListener::bind((agent, 0)).expect("bind a free port");
+    socket.local_addr().expect("local address").port()
 }
 
 fn settings(agent: Ipv4Addr, peer_port: u16, target: u16) -> AgentSettings {
@@ -209,22 +213,22 @@
         service: Some(SERVICE.to_owned()),
         ..RawSettings::default()
     };
-    raw.into_agent("test").expect("settings")
+    raw.into_agent("test").expect("valid settings")
 }
 
-/// Runs a conversation with an agent that has just started.
-async fn beside_an_agent(address: Ipv4Addr, talk: impl AsyncFnOnce(Peers)) {
-    let balancer = UdpSocket::bind((BALANCER, 0)).await.expect("bound");
-    let peer_port = balancer.local_addr().expect("bound").port();
-    let target = UdpSocket::bind((address, 0)).await.expect("bound");
-    let settings = settings(address, peer_port, target.local_addr().expect("bound").port());
+/// Starts an agent and runs `test` with its peers once it answers probes.
+async fn with_agent(address: Ipv4Addr, test: impl AsyncFnOnce(Peers)) {
+    let balancer = UdpSocket::bind((BALANCER, 0)).await.expect("bind the balancer");
+    let peer_port = balancer.local_addr().expect("local address").port();
+    let target = UdpSocket::bind((address, 0)).await.expect("bind the target");
+    let settings = settings(address, peer_port, target.local_addr().expect("local address").port());
     let log = ProcessLog { log: Logger::root(Discard, o!()), lost: Default::default() };
     let (_stop, stop) = watch::channel(false);
     let (_reload, reload) = watch::channel(0);
-    let agent = run_agent(PortsOnly, settings, "test".to_owned(), log, Signals { stop, reload });
+    let agent = run_agent(PortPlatform, settings, "test".to_owned(), log, Signals { stop, reload });
     let peers = Peers { balancer, agent: SocketAddrV4::new(address, peer_port), target };
-    let started = async {
-        let answered =
+    let scenario = async {
+        let probe_answer =
             |message: PeerMessage<'_>| matches!(message, PeerMessage::ProbeAnswer).then_some(());
         let probe = async {
             loop {
@@ -233,65 +237,67 @@
             }
         };
         tokio::select! {
-            () = peers.hear(answered) => {}
+            () = peers.receive(probe_answer) => {}
             () = probe => {}
         }
-        talk(peers).await;
+        test(peers).await;
     };
     LocalSet::new()
         .run_until(async {
             tokio::select! {
-                ended = agent => panic!("the agent ended: {ended:?}"),
-                () = started => {}
+                ended = agent => panic!("the agent ended unexpectedly: {ended:?}"),
+                () = scenario => {}
             }
         })
         .await;
 }
 
 #[tokio::test]
-async fn a_balancer_that_asks_is_granted_room_and_uses_it() {
+async fn requesting_balancer_gets_a_grant_and_uses_it() {
     let agent = Ipv4Addr::new(127, 0, 77, 11);
-    beside_an_agent(agent, async |peers| {
-        peers.ask(1).await;
-        peers.hear_grant().await;
+    with_agent(agent, async |peers| {
+        peers.request_capacity(1).await;
+        peers.expect_grant().await;
         peers.open(1_000, Some(demand(1))).await;
-        assert_eq!(peers.target_gets().await, 1_000);
-        // What still waits is told with the answer.
-        peers.hear_grant().await;
+        assert_eq!(peers.receive_at_target().await, 1_000);
+        // The opening reports what still waits at the balancer, which leads to another grant.
+        peers.expect_grant().await;
     })
     .await;
 }
 
-/// On a busy machine the grant may have lapsed before, and is then given once more.
+/// A declined grant must not keep its capacity reserved. On a busy machine the grant may have
+/// lapsed before it is declined; the agent then grants once more.
 #[tokio::test]
-async fn who_declined_holds_up_no_opening_that_comes_unasked() {
+async fn declined_grant_does_not_block_openings_without_grant() {
     let agent = Ipv4Addr::new(127, 0, 77, 12);
-    beside_an_agent(agent, async |peers| {
-        peers.ask(1).await;
-        peers.hear_grant().await;
+    with_agent(agent, async |peers| {
+        peers.request_capacity(1).await;
+        peers.expect_grant().await;
         peers.send(&PeerMessage::Declined).await;
-        for port in 1_000..1_000 + ROOM {
-            peers.open_in_the_end(port).await;
+        for port in 1_000..1_000 + CAPACITY {
+            peers.open_with_retries(port).await;
         }
     })
     .await;
 }
 
-/// What the agent told before must not be forgotten for a grant.
+/// Guards against a grant that lacks parts of the target's load that the agent reported before,
+/// such as the service time.
 #[tokio::test]
-async fn a_grant_tells_of_the_target_what_all_messages_do() {
+async fn grant_reports_complete_target_load() {
     let agent = Ipv4Addr::new(127, 0, 77, 13);
-    beside_an_agent(agent, async |peers| {
-        peers.send(&PeerMessage::Record(recorded(agent))).await;
+    with_agent(agent, async |peers| {
+        peers.send(&PeerMessage::Record(target_record(agent))).await;
         let [high, low] = 1_000_u16.to_be_bytes();
         peers.forward(&[high, low, 0], None).await;
         tokio::time::sleep(LONG_REQUEST).await;
-        peers.ask(1).await;
+        peers.request_capacity(1).await;
         let load = |message: PeerMessage<'_>| match message {
             PeerMessage::Grant { load, .. } => Some(load),
             _ => None,
         };
-        let load = peers.hear(load).await;
+        let load = peers.receive(load).await;
         assert_eq!(load.waiting, 1);
         assert!(load.service_ms.is_some_and(|ms| u128::from(ms) >= LONG_REQUEST.as_millis()));
         assert!(load.expected_ms >= load.service_ms);
@@ -300,17 +306,17 @@
 }
 
 #[tokio::test]
-async fn an_opening_that_goes_back_tells_whether_it_came_with_a_grant() {
+async fn returned_opening_states_whether_it_came_with_a_grant() {
     let agent = Ipv4Addr::new(127, 0, 77, 14);
-    beside_an_agent(agent, async |peers| {
-        for used in [None, Some(demand(1))] {
-            peers.forward_for("another service", &1_000_u16.to_be_bytes(), used).await;
+    with_agent(agent, async |peers| {
+        for granted in [None, Some(demand(1))] {
+            peers.forward_for("another service", &1_000_u16.to_be_bytes(), granted).await;
             let returned = |message: PeerMessage<'_>| match message {
                 PeerMessage::Returned { reason, granted, .. } => Some((reason, granted)),
                 _ => None,
             };
-            let expected = (ReturnReason::OtherService, used.is_some());
-            assert_eq!(peers.hear(returned).await, expected);
+            let expected = (ReturnReason::OtherService, granted.is_some());
+            assert_eq!(peers.receive(returned).await, expected);
         }
     })
     .await;
