--- a/crates/relay/src/agent/delivery.rs
+++ b/crates/relay/src/agent/delivery.rs
@@ -1,4 +1,4 @@
-//! The way of packets from peers to the target.
+//! Receives messages from peers and delivers client packets to the target.
 
 use std::io::ErrorKind;
 use std::net::Ipv4Addr;
@@ -14,23 +14,23 @@
 use crate::platform::Platform;
 use crate::receive::receive;
 
-/// Flows that a target which started again is asked about at once, so that its input does
-/// not overflow: all of 2,000 within two seconds, those whose clients wait first.
-const CHECKS_AT_ONCE: usize = 64;
+/// Restart checks sent per poll. The limit keeps the target's input from overflowing: 2,000
+/// flows are checked within two seconds, those with waiting clients first.
+const RESTART_CHECKS_PER_POLL: usize = 64;
 
 impl<P: Platform> Daemon<P> {
-    pub(super) async fn take_peer_messages(self: Rc<Self>) {
-        let take = |datagram: &mut [u8], sender| self.peer_message(datagram, sender);
-        receive(self.link.socket(), take, || {}).await;
+    pub(super) async fn receive_peer_messages(self: Rc<Self>) {
+        let handle = |datagram: &mut [u8], sender| self.handle_peer_message(datagram, sender);
+        receive(self.link.socket(), handle, || {}).await;
     }
 
-    fn peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
+    fn handle_peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
         match decode(datagram) {
             Ok(PeerMessage::Digest(digest)) => {
                 self.link.on_digest(&digest, sender);
-                self.note_evacuation();
+                self.update_evacuation();
             }
-            Ok(PeerMessage::Record(target)) => self.take_record(target),
+            Ok(PeerMessage::Record(target)) => self.handle_record(target),
             Ok(PeerMessage::Probe) => self.link.send(sender, &PeerMessage::ProbeAnswer),
             Ok(PeerMessage::Forward { service, search, may_wait, urgent, granted, packet }) => {
                 match self.platform.decode(packet) {
@@ -50,34 +50,34 @@
                 }
             }
             Ok(PeerMessage::Demand { service, demand }) => {
-                self.take_demand(sender, ServiceId(service), demand);
+                self.handle_demand(sender, ServiceId(service), demand);
             }
-            Ok(PeerMessage::Declined) => self.take_declined(sender),
-            Ok(_) => self.link.refuse_unexpected(),
-            Err(error) => self.link.refuse(error),
+            Ok(PeerMessage::Declined) => self.handle_declined(sender),
+            Ok(_) => self.link.count_unexpected(),
+            Err(error) => self.link.count_undecodable(error),
         }
     }
 
-    fn take_record(&self, target: VersionedTarget) {
+    fn handle_record(&self, target: VersionedTarget) {
         let is_own = target.record.as_ref().is_some_and(|known| known.machine() == self.address);
         if !is_own {
-            return self.link.refuse_unexpected();
+            return self.link.count_unexpected();
         }
         self.node.borrow_mut().apply_record(target, self.clock.now());
-        self.learn_target();
+        self.update_target();
     }
 
     pub(super) fn deliver(&self, arrival: &Arrival<'_>) {
         let now = self.clock.now();
         if arrival.head.is_opening() && !self.core.borrow().is_sized() {
-            self.learn_target();
+            self.update_target();
         }
         let decision = self.core.borrow_mut().delivery(arrival, now);
         match decision {
             DeliveryDecision::Deliver { echo, notice } => {
-                self.hand_labelled(arrival.head, arrival.packet, echo, now);
+                self.deliver_with_echo(arrival.head, arrival.packet, echo, now);
                 if let Some(notice) = notice {
-                    self.send_notice(&notice, now);
+                    self.send_holds_notice(&notice, now);
                 }
             }
             DeliveryDecision::Return(reason) => {
@@ -87,7 +87,7 @@
             }
             DeliveryDecision::Wait { displaced } => {
                 if let Some(opening) = displaced {
-                    self.return_opening(&opening, ReturnReason::Busy, now);
+                    self.return_pending_opening(&opening, ReturnReason::Busy, now);
                 }
                 let load = self.core.borrow().load(now);
                 self.metrics.openings_waited.inc();
@@ -97,88 +97,90 @@
             DeliveryDecision::WaitsAlready => {}
         }
         if arrival.granted.is_some() {
-            self.settle_openings();
+            self.process_pending_openings();
         }
     }
 
-    /// Lets opening packets that wait go on as far as there is room, and gives room to
-    /// balancers at which some wait.
-    pub(super) fn settle_openings(&self) {
+    /// Delivers or returns pending opening packets as capacity permits, and grants capacity to
+    /// balancers at which openings wait.
+    pub(super) fn process_pending_openings(&self) {
         let now = self.clock.now();
         loop {
-            let settled = self.settle_outcome(now);
-            let granted = self.grant_room(now);
-            if !settled && !granted {
+            let applied = self.apply_next_outcome(now);
+            let granted = self.send_next_grant(now);
+            if !applied && !granted {
                 break;
             }
         }
-        self.report_lapsed(now);
+        self.report_lapsed_grants(now);
     }
 
-    /// Carries out the next outcome of an opening packet that waits here, if there is one.
-    fn settle_outcome(&self, now: Millis) -> bool {
+    /// Applies the next outcome of a pending opening packet. Returns whether there was one.
+    fn apply_next_outcome(&self, now: Millis) -> bool {
         let outcome = self.core.borrow_mut().next_outcome(now);
         match outcome {
             None => return false,
             Some(WaitOutcome::Deliver(opening, echo)) => {
-                self.hand_labelled(&opening.head, &opening.packet, echo, now);
+                self.deliver_with_echo(&opening.head, &opening.packet, echo, now);
             }
             Some(WaitOutcome::Return(opening, reason)) => {
-                self.return_opening(&opening, reason, now);
+                self.return_pending_opening(&opening, reason, now);
             }
         }
         true
     }
 
-    /// Sends an opening packet back that waited here; none that came with a grant waits.
-    fn return_opening(&self, opening: &WaitedOpening, reason: ReturnReason, now: Millis) {
+    /// Returns a pending opening packet to its balancer. An opening packet that came with a grant
+    /// is never pending.
+    fn return_pending_opening(&self, opening: &WaitedOpening, reason: ReturnReason, now: Millis) {
         let (head, packet) = (&opening.head, &opening.packet);
         self.return_packet(head, packet, opening.balancer, reason, false, now);
     }
 
-    /// Asks a target that started again about some of the flows that it may have lost.
-    pub(super) fn check_flows(&self) {
+    /// After a restart of the target, sends it one packet of each of the next flows that it may
+    /// have lost.
+    pub(super) fn check_flows_after_restart(&self) {
         let now = self.clock.now();
-        for _ in 0..CHECKS_AT_ONCE {
+        for _ in 0..RESTART_CHECKS_PER_POLL {
             let Some(RestartCheck { flow, mut packet, echo }) = self.core.borrow_mut().next_check()
             else {
                 return;
             };
             self.platform.write_echo(&mut packet, echo);
-            if !self.hand_to_target(&packet) {
+            if !self.send_to_target(&packet) {
                 let decision = self.core.borrow_mut().not_taken(&flow, echo);
                 if let OutputDecision::Reset { sequence } = decision {
-                    self.reset_lost(&flow, sequence, now);
+                    self.reset_lost_flow(&flow, sequence, now);
                 }
             }
         }
     }
 
-    fn hand_labelled(&self, head: &PacketHead, packet: &[u8], echo: u32, now: Millis) {
-        let mut labelled = packet.to_vec();
-        self.platform.write_echo(&mut labelled, echo);
-        if !self.hand_to_target(&labelled) {
-            // Its port is closed: the packet is as good for another target as one
-            // that the target itself sends back.
+    fn deliver_with_echo(&self, head: &PacketHead, packet: &[u8], echo: u32, now: Millis) {
+        let mut labeled = packet.to_vec();
+        self.platform.write_echo(&mut labeled, echo);
+        if !self.send_to_target(&labeled) {
+            // The target's port is closed, so that another target may take the packet just
+            // like one that the target itself bounces.
             let decision = self.core.borrow_mut().not_taken(&head.client_flow(), echo);
-            self.carry_on(decision, head, packet, now);
+            self.execute_decision(decision, head, packet, now);
         }
     }
 
-    /// Whether the target's port is not known to be closed; an error is that of an
-    /// earlier packet.
-    fn hand_to_target(&self, packet: &[u8]) -> bool {
+    /// Sends a packet to the target. Returns false if the target's port is known to be closed;
+    /// the socket reports this for an earlier packet.
+    fn send_to_target(&self, packet: &[u8]) -> bool {
         match self.target.try_send(packet) {
             Ok(_) => {
                 self.metrics.delivered.inc();
-                if self.target_gone.replace(false) {
+                if self.target_unreachable.replace(false) {
                     info!(self.log, "agent: target regained"; "event" => "target_regained");
                 }
                 true
             }
             Err(error) => {
                 self.metrics.dropped.increment("target_gone");
-                if !self.target_gone.replace(true) {
+                if !self.target_unreachable.replace(true) {
                     info!(self.log, "agent: target lost"; "event" => "target_lost",
                         "reason" => error.to_string());
                 }
--- a/crates/relay/src/agent/grants.rs
+++ b/crates/relay/src/agent/grants.rs
@@ -1,4 +1,4 @@
-//! Room given to balancers at which opening packets wait.
+//! Grants of capacity to balancers at which opening packets wait.
 
 use std::net::Ipv4Addr;
 
@@ -9,26 +9,31 @@
 use crate::platform::Platform;
 
 impl<P: Platform> Daemon<P> {
-    /// A balancer asks for room.
-    pub(super) fn take_demand(&self, sender: Ipv4Addr, service: ServiceId, demand: OpeningDemand) {
+    /// Handles a balancer's request for capacity.
+    pub(super) fn handle_demand(
+        &self,
+        sender: Ipv4Addr,
+        service: ServiceId,
+        demand: OpeningDemand,
+    ) {
         let now = self.clock.now();
         if !self.core.borrow_mut().demand(sender, service, demand, now) {
-            return self.link.refuse_unexpected();
+            return self.link.count_unexpected();
         }
-        self.settle_openings();
+        self.process_pending_openings();
     }
 
-    /// A balancer has no use for a grant; the room goes to another.
-    pub(super) fn take_declined(&self, sender: Ipv4Addr) {
+    /// Handles a declined grant: its capacity goes to another balancer.
+    pub(super) fn handle_declined(&self, sender: Ipv4Addr) {
         let now = self.clock.now();
-        let was_kept = self.core.borrow_mut().declined(sender, now);
+        let in_time = self.core.borrow_mut().declined(sender, now);
         self.metrics.grants_declined.inc();
-        self.decisions.declined(sender, was_kept, now);
-        self.settle_openings();
+        self.decisions.declined(sender, in_time, now);
+        self.process_pending_openings();
     }
 
-    /// Sends the next grant, if there is one.
-    pub(super) fn grant_room(&self, now: Millis) -> bool {
+    /// Sends the next grant. Returns whether there was one.
+    pub(super) fn send_next_grant(&self, now: Millis) -> bool {
         let grant = self.core.borrow_mut().next_grant(now);
         let Some(Grant { balancer, urgent_only }) = grant else { return false };
         let load = self.core.borrow().load(now);
@@ -39,8 +44,8 @@
         true
     }
 
-    /// Logs and counts grants that were not answered in time.
-    pub(super) fn report_lapsed(&self, now: Millis) {
+    /// Logs and counts grants that balancers did not answer in time.
+    pub(super) fn report_lapsed_grants(&self, now: Millis) {
         loop {
             let lapsed = self.core.borrow_mut().next_lapsed();
             let Some(balancer) = lapsed else { return };
--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent daemon, beside one target.
+//! The agent daemon, which runs next to one target.
 
 mod delivery;
 mod grants;
@@ -28,25 +28,26 @@
 use crate::settings::{AgentSettings, RawSettings};
 use crate::status::{Status, serve_status};
 
-/// How often waiting opening packets are looked at.
-const OPENINGS_POLL: Duration = Duration::from_millis(60);
-/// The same while balancers ask for room, so that room kept in vain is soon given to others.
-const GRANTS_POLL: Duration = Duration::from_millis(20);
-/// How often digests go out and old state is dropped.
-const TICK: Duration = Duration::from_millis(500);
-/// How often digests go out soon after the start.
-const EAGER_TICK: Duration = Duration::from_millis(100);
-/// How long after the start that is.
-const EAGER_MS: Millis = 2_000;
-/// A planned stop goes on for at least this long, so that balancers hear of it.
-const SHORTEST_STOP_MS: Millis = 200;
-/// Left of the stop limit for ending.
+/// Interval at which pending opening packets are checked.
+const OPENINGS_POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// The same interval while balancers request capacity. It is shorter so that capacity reserved
+/// by an unused grant soon goes to another balancer.
+const GRANTS_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which digests are sent and old state is dropped.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which digests are sent in the period after the start.
+const STARTUP_TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Length of the period after the start in which the shorter interval applies.
+const STARTUP_PERIOD_MS: Millis = 2_000;
+/// Shortest duration of a planned stop, so that balancers learn of it.
+const MIN_STOP_MS: Millis = 200;
+/// Part of the stop limit that is reserved for exiting.
 const STOP_MARGIN_MS: Millis = 700;
-/// Longest wait for a stopping agent's look at whether its target has ended; the target is
+/// Connect timeout when a stopping agent checks whether its target has ended. The target is
 /// on the same machine.
-const TARGET_CHECK: Duration = Duration::from_millis(100);
-/// How often a stopping agent looks whether requests still wait.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const TARGET_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval at which a stopping agent checks for requests that still wait.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Daemon<P> {
     platform: P,
@@ -55,9 +56,9 @@
     core: RefCell<Agent>,
     /// Receives what the target sends.
     output: UdpSocket,
-    /// Connected to the target, so that a target that is gone is noticed.
+    /// Connected to the target, so that the closed port of an ended target shows as an error.
     target: UdpSocket,
-    target_gone: Cell<bool>,
+    target_unreachable: Cell<bool>,
     link: Rc<PeerLink>,
     address: Ipv4Addr,
     client_port: u16,
@@ -65,17 +66,17 @@
     cold_overshoot: f64,
     cold_slack: f64,
     leaving: Cell<bool>,
-    /// The life of the target that its latest record names.
+    /// The target's incarnation according to its latest record.
     incarnation: Cell<Option<u64>>,
     metrics: AgentMetrics,
     decisions: DecisionLog,
     log: Logger,
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until it receives a stop signal.
 ///
 /// # Errors
-/// When an address cannot be bound.
+/// When an address cannot be bound or the target's address cannot be connected.
 pub async fn run<P: Platform>(
     platform: P,
     settings: AgentSettings,
@@ -102,7 +103,7 @@
         core: RefCell::new(Agent::new(ServiceId::of(&settings.service))),
         output,
         target,
-        target_gone: Cell::new(false),
+        target_unreachable: Cell::new(false),
         link,
         address: common.address,
         client_port: common.packets.port(),
@@ -115,9 +116,9 @@
         decisions: DecisionLog::new(log.clone()),
         log: log.clone(),
     });
-    tokio::task::spawn_local(Rc::clone(&daemon).take_peer_messages());
-    tokio::task::spawn_local(Rc::clone(&daemon).take_output());
-    tokio::task::spawn_local(Rc::clone(&daemon).watch_openings());
+    tokio::task::spawn_local(Rc::clone(&daemon).receive_peer_messages());
+    tokio::task::spawn_local(Rc::clone(&daemon).receive_output());
+    tokio::task::spawn_local(Rc::clone(&daemon).poll_openings());
     tokio::task::spawn_local(Rc::clone(&daemon).tick());
     let role = (settings.target, settings.target_output, settings.service.clone());
     let watch = SettingsWatch {
@@ -138,18 +139,18 @@
     signals.stopped().await;
     status.stop();
     info!(log, "agent: stopping"; "event" => "stop", "waiting" => daemon.core.borrow().waiting());
-    let told_at = clock.now();
-    daemon.leave_when_idle(common.stop_limit_ms).await;
-    daemon.report_ended_target(settings.target, told_at).await;
+    let stop_requested_at = clock.now();
+    daemon.stop_when_idle(common.stop_limit_ms).await;
+    daemon.announce_ended_target(settings.target, stop_requested_at).await;
     info!(log, "agent: stopped"; "event" => "stopped",
         "waiting" => daemon.core.borrow().waiting());
     Ok(())
 }
 
-/// Whether a target's port refuses connections, on which it answers health checks as long
-/// as it lives. A target that lives sees one connection that is closed at once.
+/// Whether a target's port refuses TCP connections. A running target answers health checks on
+/// it, and sees one connection that is closed at once.
 async fn refuses_connections(target: SocketAddrV4) -> bool {
-    let connected = tokio::time::timeout(TARGET_CHECK, TcpStream::connect(target)).await;
+    let connected = tokio::time::timeout(TARGET_CHECK_TIMEOUT, TcpStream::connect(target)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
@@ -158,14 +159,20 @@
 }
 
 impl<P: Platform> Daemon<P> {
-    /// Ends waits that no output of the target ends.
-    async fn watch_openings(self: Rc<Self>) {
+    /// Periodically processes pending openings, search results and restart checks, which may
+    /// become due without any output of the target.
+    async fn poll_openings(self: Rc<Self>) {
         loop {
-            let is_asked = self.core.borrow().asking() > 0;
-            tokio::time::sleep(if is_asked { GRANTS_POLL } else { OPENINGS_POLL }).await;
-            self.settle_openings();
-            self.report_found();
-            self.check_flows();
+            let has_requests = self.core.borrow().asking() > 0;
+            tokio::time::sleep(if has_requests {
+                GRANTS_POLL_INTERVAL
+            } else {
+                OPENINGS_POLL_INTERVAL
+            })
+            .await;
+            self.process_pending_openings();
+            self.report_search_results();
+            self.check_flows_after_restart();
         }
     }
 
@@ -173,18 +180,18 @@
         loop {
             let now = self.clock.now();
             self.core.borrow_mut().expire(now);
-            self.learn_target();
-            self.note_evacuation();
-            self.renew_claim();
+            self.update_target();
+            self.update_evacuation();
+            self.update_target_status();
             self.link.tick();
-            let tick = if now < EAGER_MS { EAGER_TICK } else { TICK };
+            let tick = if now < STARTUP_PERIOD_MS { STARTUP_TICK_INTERVAL } else { TICK_INTERVAL };
             tokio::time::sleep(tick).await;
         }
     }
 
-    /// Takes the target's size and whether it is cold from its record. A target without a
-    /// record may be cold, and so may one whose agent has just started.
-    fn learn_target(&self) {
+    /// Reads the target's slots, incarnation and cold-start state from its record. A target
+    /// without a record may be cold, and so may one whose agent has just started.
+    fn update_target(&self) {
         let node = self.node.borrow();
         let view = node.view();
         let service = ServiceId::of(&self.service);
@@ -192,8 +199,8 @@
         let own = candidates.copied().find(|candidate| candidate.agent == self.address);
         let mut core = self.core.borrow_mut();
         if let Some(own) = own {
-            if self.is_other_life(own.incarnation) {
-                info!(self.log, "agent: target started again"; "event" => "target_restarted",
+            if self.is_new_incarnation(own.incarnation) {
+                info!(self.log, "agent: target restarted"; "event" => "target_restarted",
                     "waiting" => core.waiting(), "flows" => core.flow_count());
                 core.target_restarted();
             }
@@ -206,19 +213,20 @@
         core.set_cold_start(rate, cold_until);
     }
 
-    /// Whether the target's record names another life than the last one did.
-    fn is_other_life(&self, incarnation: Option<u64>) -> bool {
+    /// Whether the target's record names another incarnation than the previous record did.
+    fn is_new_incarnation(&self, incarnation: Option<u64>) -> bool {
         let known = self.incarnation.replace(incarnation.or(self.incarnation.get()));
         known.zip(incarnation).is_some_and(|(known, now)| known != now)
     }
 
-    /// Takes over whether this agent's zone is evacuated.
-    fn note_evacuation(&self) {
+    /// Passes on whether this agent's zone is evacuated.
+    fn update_evacuation(&self) {
         let evacuated = self.node.borrow().is_evacuated();
         self.core.borrow_mut().set_evacuated(evacuated);
     }
 
-    fn renew_claim(&self) {
+    /// Updates the status of the target that this agent reports in its digests.
+    fn update_target_status(&self) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
         core.learn_routes(self.node.borrow().view(), now);
@@ -227,7 +235,7 @@
         self.metrics.balancers_asking.set(core.asking() as i64);
         self.node.borrow_mut().claim = Some(TargetClaim {
             service: self.service.clone(),
-            alive: !self.target_gone.get(),
+            alive: !self.target_unreachable.get(),
             load: core.load(now),
             leaving: self.leaving.get(),
             recorded: core.is_sized(),
@@ -235,31 +243,32 @@
         });
     }
 
-    /// Tells balancers if the target has ended: then searches for lost flows need not wait
-    /// for it, some 350 ms each until a balancer has learned that nobody answers. A target
-    /// that wrote anything since the agent was told to stop has not.
-    async fn report_ended_target(&self, target: SocketAddrV4, told_at: Millis) {
-        if refuses_connections(target).await && !self.core.borrow().wrote_since(told_at) {
+    /// Notifies balancers if the target has ended. Searches for lost flows then skip it; they
+    /// would otherwise each wait some 350 ms for it until a balancer has learned that it does
+    /// not answer. A target that sent anything since the stop was requested has not ended.
+    async fn announce_ended_target(&self, target: SocketAddrV4, stop_requested_at: Millis) {
+        if refuses_connections(target).await && !self.core.borrow().wrote_since(stop_requested_at) {
             info!(self.log, "agent: target has ended"; "event" => "target_ended");
-            self.link.announce_end();
+            self.link.announce_target_end();
         }
     }
 
-    /// Takes no new flows, and ends at a moment when no request waits.
-    async fn leave_when_idle(&self, stop_limit_ms: Millis) {
+    /// Stops taking new flows and returns when no request waits, or when the stop limit is
+    /// nearly reached.
+    async fn stop_when_idle(&self, stop_limit_ms: Millis) {
         self.leaving.set(true);
         self.core.borrow_mut().leave();
-        self.renew_claim();
+        self.update_target_status();
         self.link.tick();
         let began = self.clock.now();
         let longest = stop_limit_ms.saturating_sub(STOP_MARGIN_MS);
         loop {
             let elapsed = self.clock.now().saturating_sub(began);
             let idle = self.core.borrow().waiting() == 0;
-            if elapsed >= longest || (elapsed >= SHORTEST_STOP_MS && idle) {
+            if elapsed >= longest || (elapsed >= MIN_STOP_MS && idle) {
                 return;
             }
-            tokio::time::sleep(STOP_POLL).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/relay/src/agent/output.rs
+++ b/crates/relay/src/agent/output.rs
@@ -1,4 +1,4 @@
-//! The way of packets that the target sent or did not take.
+//! Handles packets that the target sent or did not take.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -12,16 +12,16 @@
 use crate::receive::receive;
 
 impl<P: Platform> Daemon<P> {
-    pub(super) async fn take_output(self: Rc<Self>) {
-        let take = |packet: &mut [u8], _| self.target_packet(packet);
-        let turn = || {
-            self.settle_openings();
-            self.report_found();
+    pub(super) async fn receive_output(self: Rc<Self>) {
+        let handle = |packet: &mut [u8], _| self.handle_target_packet(packet);
+        let after_batch = || {
+            self.process_pending_openings();
+            self.report_search_results();
         };
-        receive(&self.output, take, turn).await;
+        receive(&self.output, handle, after_batch).await;
     }
 
-    fn target_packet(&self, packet: &mut [u8]) {
+    fn handle_target_packet(&self, packet: &mut [u8]) {
         let now = self.clock.now();
         let head = match self.platform.decode(packet) {
             Ok(head) => head,
@@ -31,26 +31,27 @@
             self.core.borrow_mut().answer_begins(&head.target_flow(), status, now);
         }
         let decision = self.core.borrow_mut().output(&head, now);
-        self.report_breaker();
+        self.report_breaker_change();
         match decision {
             OutputDecision::ToClient { notice } => {
                 let client = SocketAddrV4::new(*head.destination.ip(), self.client_port);
-                // Like any datagram, it may be lost; the target sends it again.
+                // A datagram that is lost here is retransmitted by the target.
                 let _ = self.output.try_send_to(packet, client.into());
                 self.metrics.to_clients.inc();
                 if let Some(notice) = notice {
-                    self.send_notice(&notice, now);
+                    self.send_holds_notice(&notice, now);
                 }
             }
-            onward => {
+            undelivered => {
                 self.platform.restore_bounced(packet);
-                self.carry_on(onward, &head, packet, now);
+                self.execute_decision(undelivered, &head, packet, now);
             }
         }
     }
 
-    /// Logs and counts it if new flows are turned away from now on, or no longer.
-    fn report_breaker(&self) {
+    /// Logs and counts a change of the circuit breaker, which keeps new flows from a failing
+    /// target.
+    fn report_breaker_change(&self) {
         match self.core.borrow_mut().take_breaker_change() {
             None => {}
             Some(BreakerChange::Opened { consecutive, recent, span_ms }) => {
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Sends a packet that the target did not take where it goes next.
-    pub(super) fn carry_on(
+    /// Executes the decision about a packet that the target did not take.
+    pub(super) fn execute_decision(
         &self,
         decision: OutputDecision,
         head: &PacketHead,
@@ -94,36 +95,37 @@
                 self.link.send(agent, &message);
             }
             OutputDecision::Reset { sequence } => {
-                self.reset_lost(&head.client_flow(), sequence, now)
+                self.reset_lost_flow(&head.client_flow(), sequence, now)
             }
             OutputDecision::ToClient { .. } => {}
             OutputDecision::Drop(_) => self.metrics.dropped.increment("unknown_delivery"),
         }
     }
 
-    /// Resets a flow that the target lost.
-    pub(super) fn reset_lost(&self, flow: &FlowKey, sequence: u32, now: Millis) {
+    /// Resets a flow that the target lost when it restarted.
+    pub(super) fn reset_lost_flow(&self, flow: &FlowKey, sequence: u32, now: Millis) {
         self.metrics.flows_reset.inc();
         self.decisions.reset_lost(flow, now);
         let reset = self.platform.build_reset(flow, sequence);
         let client = SocketAddrV4::new(*flow.client.ip(), self.client_port);
-        // Like any datagram, it may be lost; the client's next packet then finds no holder.
+        // If this datagram is lost, the search for the client's next packet finds no holder.
         let _ = self.output.try_send_to(&reset, client.into());
     }
 
-    /// Tells balancers that searched what the target was found to hold.
-    pub(super) fn report_found(&self) {
+    /// Notifies balancers of searched flows that the target was found to hold.
+    pub(super) fn report_search_results(&self) {
         let now = self.clock.now();
         loop {
             let found = self.core.borrow_mut().next_found(now);
             match found {
-                Some(notice) => self.send_notice(&notice, now),
+                Some(notice) => self.send_holds_notice(&notice, now),
                 None => return,
             }
         }
     }
 
-    pub(super) fn send_notice(&self, notice: &HoldsNotice, now: Millis) {
+    /// Notifies a balancer that the target holds a flow.
+    pub(super) fn send_holds_notice(&self, notice: &HoldsNotice, now: Millis) {
         let load = self.core.borrow().load(now);
         self.decisions.answered(&notice.flow, notice.confirmed, load.waiting, now);
         let flow = notice.flow;
--- a/crates/relay/src/balancer/resting.rs
+++ b/crates/relay/src/balancer/deferred.rs
@@ -1,5 +1,5 @@
-//! Packets that rest here: their way is not known yet, their search goes on, or they wait
-//! for room.
+//! Deferred packets: no destination is known for them yet, their search continues, or they
+//! wait for capacity.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::Daemon;
 use crate::platform::Platform;
 
-/// Longest rest between two looks at the packets.
-const LONGEST_REST_MS: Millis = 50;
-/// Shortest such rest, so that many packets share a wake-up.
-const SHORTEST_REST_MS: Millis = 4;
+/// Longest time between two passes over the deferred packets.
+const MAX_POLL_INTERVAL_MS: Millis = 50;
+/// Shortest time between two passes, so that many packets share a wake-up.
+const MIN_POLL_INTERVAL_MS: Millis = 4;
 
 impl<P: Platform> Daemon<P> {
-    /// Goes on with searches that a silent target holds up, with packets that came before
-    /// it was known where they could go, and with openings that wait for room.
-    pub(super) async fn continue_resting(self: Rc<Self>) {
+    /// Resumes searches that an unresponsive target delays, retries packets that came before
+    /// their destination was known, and processes openings that wait for capacity.
+    pub(super) async fn process_deferred(self: Rc<Self>) {
         loop {
-            self.rest_until_due().await;
+            self.wait_until_due().await;
             let now = self.clock.now();
             self.continue_searches(now);
-            self.decide_undecided(now);
-            self.continue_queue(now);
+            self.retry_undecided_packets(now);
+            self.process_queue(now);
         }
     }
 
@@ -34,24 +34,25 @@
             let decision = self.decide(now, |core, context| {
                 core.search_again(context, ClientPacket { head: &head, bytes: &packet })
             });
-            self.carry_out(decision, &head, &packet, now);
+            self.execute_decision(decision, &head, &packet, now);
         }
     }
 
-    fn decide_undecided(&self, now: Millis) {
+    fn retry_undecided_packets(&self, now: Millis) {
         let due = self.decide_with_helpers(now, |core, context| core.due_undecided(context));
         for (head, packet) in due {
             let decision = self.decide_with_helpers(now, |core, context| {
                 core.decide_again(context, ClientPacket { head: &head, bytes: &packet })
             });
             if let Some(decision) = decision {
-                self.carry_out(decision, &head, &packet, now);
+                self.execute_decision(decision, &head, &packet, now);
             }
         }
     }
 
-    /// Decides with helpers at hand while this balancer knows no configuration. Later,
-    /// packets that rest here may have been handed off to it.
+    /// Decides with the helpers in the context as long as this balancer knows no configuration.
+    /// Later, deferred packets may themselves have been handed off to this balancer, and must
+    /// not be handed off again.
     fn decide_with_helpers<T>(
         &self,
         now: Millis,
@@ -64,17 +65,17 @@
         })
     }
 
-    /// Waits for the next packet that is due, also for one that comes meanwhile.
-    async fn rest_until_due(&self) {
+    /// Waits until the next deferred packet is due, including packets deferred meanwhile.
+    async fn wait_until_due(&self) {
         let began = self.clock.now();
-        let earliest = began + SHORTEST_REST_MS;
-        let latest = began + LONGEST_REST_MS;
+        let earliest = began + MIN_POLL_INTERVAL_MS;
+        let latest = began + MAX_POLL_INTERVAL_MS;
         loop {
             let due_at = self.core.borrow().next_due().unwrap_or(latest);
-            let rest = due_at.clamp(earliest, latest).saturating_sub(self.clock.now());
+            let delay = due_at.clamp(earliest, latest).saturating_sub(self.clock.now());
             tokio::select! {
-                () = tokio::time::sleep(Duration::from_millis(rest)) => return,
-                () = self.packet_rests.notified() => {}
+                () = tokio::time::sleep(Duration::from_millis(delay)) => return,
+                () = self.packet_deferred.notified() => {}
             }
         }
     }
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -1,9 +1,9 @@
-//! The balancer daemon.
+//! The balancer daemon, which forwards clients' packets to the agents of targets.
 
-mod intake;
+mod deferred;
 mod queueing;
-mod resting;
-mod watch;
+mod readiness;
+mod receiving;
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -24,7 +24,7 @@
 use crate::backlog::Backlog;
 use crate::base::Base;
 use crate::clock::Clock;
-use crate::events::{Basis, DecisionLog, Forwarded};
+use crate::events::{DecisionLog, Forwarded, KnownState};
 use crate::fleet_node::FleetNode;
 use crate::link::PeerLink;
 use crate::metrics::{BalancerMetrics, StoreMetrics};
@@ -35,12 +35,13 @@
 use crate::status::{Status, serve_status};
 use crate::store::StoreReader;
 
-/// How often digests go out and old state is dropped.
-const TICK: Duration = Duration::from_millis(500);
-/// How often seeds are asked soon after the start, until one knows something.
-const EAGER_TICK: Duration = Duration::from_millis(40);
-/// How long after the start that is.
-const EAGER_MS: Millis = 2_000;
+/// Interval at which digests are sent and old state is dropped.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which seeds are queried in the period after the start, until a configuration is
+/// known.
+const STARTUP_TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// Length of the period after the start in which the shorter interval applies.
+const STARTUP_PERIOD_MS: Millis = 2_000;
 
 struct Daemon<P> {
     platform: P,
@@ -48,7 +49,8 @@
     node: Rc<RefCell<FleetNode>>,
     core: RefCell<Balancer>,
     backlog: RefCell<Backlog>,
-    /// Balancers that take packets of unknown flows over; empty unless pressed.
+    /// Balancers to which packets of unknown flows are handed off; empty unless this balancer
+    /// is under pressure or knows no configuration.
     helpers: RefCell<Vec<Ipv4Addr>>,
     packets: UdpSocket,
     link: Rc<PeerLink>,
@@ -58,11 +60,11 @@
     decisions: DecisionLog,
     log: Logger,
     last_packet_at: RefCell<Millis>,
-    /// Told when a packet could not go anywhere yet: it is decided about again soon.
-    packet_rests: Notify,
+    /// Notified when a packet was deferred, so that it is decided about again in time.
+    packet_deferred: Notify,
 }
 
-/// Runs a balancer until it is told to stop.
+/// Runs a balancer until it receives a stop signal.
 ///
 /// # Errors
 /// When an address cannot be bound.
@@ -102,7 +104,7 @@
         decisions: DecisionLog::new(log.clone()),
         log: log.clone(),
         last_packet_at: RefCell::new(0),
-        packet_rests: Notify::new(),
+        packet_deferred: Notify::new(),
     });
     let reader =
         StoreReader::new(platform, &common, Rc::clone(&node), clock, store_metrics, log.clone());
@@ -130,16 +132,16 @@
 }
 
 fn start_tasks<P: Platform>(daemon: &Rc<Daemon<P>>, reader: StoreReader<P>, status: Status) {
-    let news = Rc::clone(daemon);
+    let reader_daemon = Rc::clone(daemon);
     tokio::task::spawn_local(reader.run(move || {
-        news.link.spread_news();
-        news.note_regained();
+        reader_daemon.link.propagate_updates();
+        reader_daemon.query_agents_if_regained();
     }));
-    tokio::task::spawn_local(Rc::clone(daemon).take_datagrams());
-    tokio::task::spawn_local(Rc::clone(daemon).continue_resting());
+    tokio::task::spawn_local(Rc::clone(daemon).receive_datagrams());
+    tokio::task::spawn_local(Rc::clone(daemon).process_deferred());
     tokio::task::spawn_local(Rc::clone(daemon).tick());
-    tokio::task::spawn_local(Rc::clone(daemon).watch_isolation(status.clone()));
-    tokio::task::spawn_local(Rc::clone(daemon).watch_pressure(status));
+    tokio::task::spawn_local(Rc::clone(daemon).monitor_isolation(status.clone()));
+    tokio::task::spawn_local(Rc::clone(daemon).monitor_pressure(status));
 }
 
 impl<P: Platform> Daemon<P> {
@@ -147,20 +149,20 @@
         self.core.borrow().flow_count()
     }
 
-    /// Takes a packet that a router handed to this balancer.
-    fn client_packet(&self, packet: &[u8]) {
+    /// Handles a client's packet from a router.
+    fn handle_client_packet(&self, packet: &[u8]) {
         let now = self.clock.now();
         *self.last_packet_at.borrow_mut() = now;
-        self.decide_packet(packet, &self.helpers.borrow(), now);
+        self.process_packet(packet, &self.helpers.borrow(), now);
     }
 
-    /// Takes a packet that another balancer had no time for.
-    fn handed_packet(&self, packet: &[u8], now: Millis) {
+    /// Handles a client's packet that another balancer handed off. It is not handed off again.
+    fn handle_handed_off_packet(&self, packet: &[u8], now: Millis) {
         self.metrics.handed_in.inc();
-        self.decide_packet(packet, &[], now);
+        self.process_packet(packet, &[], now);
     }
 
-    fn decide_packet(&self, packet: &[u8], helpers: &[Ipv4Addr], now: Millis) {
+    fn process_packet(&self, packet: &[u8], helpers: &[Ipv4Addr], now: Millis) {
         let began = Instant::now();
         let head = match self.platform.decode(packet) {
             Ok(head) => head,
@@ -176,14 +178,14 @@
         {
             self.decisions.request(id, &forwarded(&head.client_flow(), forward), now);
         }
-        self.carry_out(decision, &head, packet, now);
+        self.execute_decision(decision, &head, packet, now);
     }
 
-    fn peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
+    fn handle_peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
         let now = self.clock.now();
         let message: PeerMessage<'_> = match decode(datagram) {
             Ok(message) => message,
-            Err(error) => return self.link.refuse(error),
+            Err(error) => return self.link.count_undecodable(error),
         };
         match message {
             PeerMessage::Digest(digest) => {
@@ -191,9 +193,9 @@
                     self.core.borrow_mut().claimed(sender, digest.zone, claim, now);
                 }
                 self.link.on_digest(&digest, sender);
-                self.note_regained();
+                self.query_agents_if_regained();
                 if self.node.borrow().knows_nothing() {
-                    self.choose_helpers(now);
+                    self.update_helpers(now);
                 }
             }
             PeerMessage::Returned { reason, granted, load, packet } => {
@@ -203,7 +205,7 @@
                     let packet = ClientPacket { head: &head, bytes: packet };
                     core.returned_packet(context, packet, sender, reason, granted)
                 });
-                self.carry_out(decision, &head, packet, now);
+                self.execute_decision(decision, &head, packet, now);
             }
             PeerMessage::Holds { client, service, confirmed, load } => {
                 let flow = FlowKey { client: endpoint(client), service: endpoint(service) };
@@ -215,20 +217,20 @@
             PeerMessage::Waits { load } => {
                 self.core.borrow_mut().heard(sender, load, now);
             }
-            PeerMessage::HandOff { packet } => self.handed_packet(packet, now),
+            PeerMessage::HandOff { packet } => self.handle_handed_off_packet(packet, now),
             PeerMessage::TargetEnded => self.core.borrow_mut().target_ended(sender, now),
             PeerMessage::ProbeAnswer => self.core.borrow_mut().reached(now),
             PeerMessage::Grant { service, urgent_only, load } => {
                 let service = ServiceId(service);
                 let grant = RoomGrant { agent: sender, service, urgent_only, load };
-                self.take_grant(&grant, now);
+                self.handle_grant(&grant, now);
             }
             PeerMessage::Forward { .. }
             | PeerMessage::Declined
             | PeerMessage::Record(_)
             | PeerMessage::Probe
             | PeerMessage::Demand { .. } => {
-                self.link.refuse_unexpected();
+                self.link.count_unexpected();
             }
         }
     }
@@ -241,7 +243,7 @@
         decide(&mut self.core.borrow_mut(), &context)
     }
 
-    fn carry_out(&self, decision: Decision, head: &PacketHead, packet: &[u8], now: Millis) {
+    fn execute_decision(&self, decision: Decision, head: &PacketHead, packet: &[u8], now: Millis) {
         let flow = head.client_flow();
         match decision {
             Decision::Forward(forward) => {
@@ -257,13 +259,13 @@
                 self.metrics.resets.increment(reason.label());
                 match reason {
                     ResetReason::Overloaded { inputs } => {
-                        self.decisions.refused(&flow, inputs, self.basis(now), now);
+                        self.decisions.refused(&flow, inputs, self.known_state(now), now);
                     }
-                    _ => self.decisions.reset(&flow, reason.label(), self.basis(now), now),
+                    _ => self.decisions.reset(&flow, reason.label(), self.known_state(now), now),
                 }
                 let reset = self.platform.build_reset(&flow, sequence);
                 let client = SocketAddrV4::new(*flow.client.ip(), self.client_port);
-                // Like any datagram, a reset may be lost; the client asks again.
+                // If this datagram is lost, the client retransmits its packet.
                 let _ = self.packets.try_send_to(&reset, client.into());
             }
             Decision::HandOff { helper } => {
@@ -271,26 +273,27 @@
                 self.link.send(helper, &PeerMessage::HandOff { packet });
             }
             Decision::Queue { ask, service, demand, inputs } => {
-                self.packet_rests.notify_one();
+                self.packet_deferred.notify_one();
                 self.metrics.openings_queued.inc();
                 self.decisions.queued(&flow, inputs, now);
-                self.ask_for_room(&ask, service, demand);
-                self.show_queue_length();
+                self.request_capacity(&ask, service, demand);
+                self.update_queue_length();
             }
             Decision::Drop(DropReason::SearchEnded | DropReason::SearchGoesOn) => {}
             Decision::Drop(DropReason::SearchWaits { .. }) => {
-                self.packet_rests.notify_one();
+                self.packet_deferred.notify_one();
                 self.metrics.searches_deferred.inc();
             }
             Decision::Drop(reason) => {
-                self.packet_rests.notify_one();
+                self.packet_deferred.notify_one();
                 self.metrics.dropped.increment(reason.label());
-                self.decisions.dropped(&flow, reason, self.basis(now), now);
+                self.decisions.dropped(&flow, reason, self.known_state(now), now);
             }
         }
     }
 
-    /// Sends a packet to an agent; a searching one goes on to `next` in turn.
+    /// Sends a packet to an agent. A search packet visits the agents in `next` afterwards, in
+    /// this order.
     fn forward(&self, forward: &Forward, agent: Ipv4Addr, next: &[Ipv4Addr], packet: &[u8]) {
         self.metrics.forwarded.increment(forward.reason.label());
         let message = PeerMessage::Forward {
@@ -313,28 +316,28 @@
         match forward.reason {
             ForwardReason::Held => {}
             ForwardReason::Search => {
-                self.decisions.search(&forwarded(flow, forward), self.basis(now), now);
+                self.decisions.search(&forwarded(flow, forward), self.known_state(now), now);
             }
-            _ => self.decisions.opening(&forwarded(flow, forward), self.basis(now), now),
+            _ => self.decisions.opening(&forwarded(flow, forward), self.known_state(now), now),
         }
     }
 
-    fn basis(&self, now: Millis) -> Basis {
+    fn known_state(&self, now: Millis) -> KnownState {
         let node = self.node.borrow();
-        Basis {
+        KnownState {
             configuration: node.view().label(),
             revision: node.position().revision,
             age_ms: node.age(now),
         }
     }
 
-    /// After the store's word was lost, living targets may lack records: their
-    /// agents are asked.
-    fn note_regained(&self) {
+    /// Queries agents once the store's data is fresh again after it was lost: the records of
+    /// running targets may be missing.
+    fn query_agents_if_regained(&self) {
         let regained = self.node.borrow_mut().take_regained();
         if let Some(regained_at) = regained {
             self.core.borrow_mut().store_regained(regained_at);
-            self.link.ask_agents();
+            self.link.query_agents();
         }
     }
 
@@ -342,15 +345,16 @@
         loop {
             let now = self.clock.now();
             self.link.tick();
-            self.note_regained();
+            self.query_agents_if_regained();
             {
                 let node = self.node.borrow();
                 let mut core = self.core.borrow_mut();
                 core.expire(node.view(), now);
                 self.metrics.flows.set(core.flow_count() as i64);
             }
-            let eager = self.node.borrow().knows_nothing() && now < EAGER_MS;
-            tokio::time::sleep(if eager { EAGER_TICK } else { TICK }).await;
+            let is_starting = self.node.borrow().knows_nothing() && now < STARTUP_PERIOD_MS;
+            tokio::time::sleep(if is_starting { STARTUP_TICK_INTERVAL } else { TICK_INTERVAL })
+                .await;
         }
     }
 }
--- a/crates/relay/src/balancer/queueing.rs
+++ b/crates/relay/src/balancer/queueing.rs
@@ -1,4 +1,4 @@
-//! Openings that wait here until an agent grants room.
+//! Opening packets that wait at the balancer until an agent grants capacity.
 
 use std::net::Ipv4Addr;
 
@@ -9,40 +9,40 @@
 use crate::platform::Platform;
 
 impl<P: Platform> Daemon<P> {
-    /// Answers an agent's grant with the opening that goes first, or declines it.
-    pub(super) fn take_grant(&self, grant: &RoomGrant, now: Millis) {
+    /// Answers an agent's grant with the first queued opening that may use it, or declines it.
+    pub(super) fn handle_grant(&self, grant: &RoomGrant, now: Millis) {
         let GrantAnswer { granted, settled } =
             self.decide(now, |core, context| core.grant(context, grant));
         self.metrics.grants.increment(if granted.is_some() { "used" } else { "declined" });
         match granted {
             Some(opening) => {
                 self.metrics.queue_seconds.observe(opening.waited_ms as f64 / 1_000.0);
-                self.settle(opening, now);
+                self.execute_resolved(opening, now);
             }
             None => self.link.send(grant.agent, &PeerMessage::Declined),
         }
         for opening in settled {
-            self.settle(opening, now);
+            self.execute_resolved(opening, now);
         }
-        self.show_queue_length();
+        self.update_queue_length();
     }
 
-    /// Tells the clients of openings that cannot be served in time, and asks further agents
-    /// for room for those that still wait.
-    pub(super) fn continue_queue(&self, now: Millis) {
+    /// Refuses openings that cannot be served in time, and requests capacity from further
+    /// agents for those that still wait.
+    pub(super) fn process_queue(&self, now: Millis) {
         let refused = self.core.borrow_mut().due_refusals(now);
         for opening in refused {
-            self.settle(opening, now);
+            self.execute_resolved(opening, now);
         }
         let requests = self.decide(now, |core, context| core.due_room_requests(context));
         for request in requests {
-            self.ask_for_room(&request.agents, request.service, request.demand);
+            self.request_capacity(&request.agents, request.service, request.demand);
         }
-        self.show_queue_length();
+        self.update_queue_length();
     }
 
-    /// Asks agents for room.
-    pub(super) fn ask_for_room(
+    /// Sends agents a request for capacity.
+    pub(super) fn request_capacity(
         &self,
         agents: &[Ipv4Addr],
         service: ServiceId,
@@ -53,12 +53,13 @@
         }
     }
 
-    fn settle(&self, opening: SettledOpening, now: Millis) {
+    /// Executes the decision about an opening that no longer waits.
+    fn execute_resolved(&self, opening: SettledOpening, now: Millis) {
         let SettledOpening { head, bytes, decision, .. } = opening;
-        self.carry_out(decision, &head, &bytes, now);
+        self.execute_decision(decision, &head, &bytes, now);
     }
 
-    pub(super) fn show_queue_length(&self) {
+    pub(super) fn update_queue_length(&self) {
         self.metrics.queue_length.set(self.core.borrow().queue_length() as i64);
     }
 }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,4 +1,4 @@
-//! Log lines of packet decisions, bounded in number.
+//! Rate-limited log lines of packet decisions.
 
 use std::cell::Cell;
 use std::net::Ipv4Addr;
@@ -7,29 +7,30 @@
 use weirhinge_fleet::Millis;
 use weirhinge_steering::{DropReason, FlowKey, QueueInputs, SelectionInputs, VersionLabel};
 
-/// Most lines of one kind in each interval.
+/// Most lines of one kind per interval.
 const LINES_PER_INTERVAL: u32 = 300;
-/// Length of the interval.
+/// Length of the interval of a line budget.
 const INTERVAL_MS: Millis = 1_000;
 
-/// Bounds the lines of one kind; what is left out is counted and reported.
+/// Limits the log lines of one kind. Suppressed lines are counted, and their number is logged
+/// in a later interval.
 #[derive(Debug, Default)]
-struct Budget {
-    began_at: Cell<Millis>,
+struct LineBudget {
+    interval_began_at: Cell<Millis>,
     written: Cell<u32>,
     suppressed: Cell<u32>,
 }
 
-impl Budget {
-    /// Whether a line may be written now.
+impl LineBudget {
+    /// Returns whether a line may be written now, and counts it as written or suppressed.
     fn allows(&self, kind: &'static str, log: &Logger, now: Millis) -> bool {
-        if now.saturating_sub(self.began_at.get()) >= INTERVAL_MS {
+        if now.saturating_sub(self.interval_began_at.get()) >= INTERVAL_MS {
             let suppressed = self.suppressed.take();
             if suppressed > 0 {
-                info!(log, "log: lines left out"; "event" => "lines_suppressed",
+                info!(log, "log: lines suppressed"; "event" => "lines_suppressed",
                     "kind" => kind, "count" => suppressed);
             }
-            self.began_at.set(now);
+            self.interval_began_at.set(now);
             self.written.set(0);
         }
         if self.written.get() >= LINES_PER_INTERVAL {
@@ -41,181 +42,181 @@
     }
 }
 
-/// Where a packet was sent and why, for its line.
+/// Where a packet was forwarded and why, as logged.
 pub struct Forwarded<'a> {
-    /// The flow.
+    /// The packet's flow.
     pub flow: &'a FlowKey,
-    /// The agent.
+    /// The agent that the packet was sent to.
     pub agent: Ipv4Addr,
-    /// Why.
+    /// Label of the reason for which the packet was sent there.
     pub reason: &'static str,
-    /// What was weighed, if a target was chosen by load.
+    /// Inputs of the decision, if the target was chosen by load.
     pub inputs: Option<&'a SelectionInputs>,
 }
 
-/// The state of knowledge behind a decision.
+/// The state of the store that a decision was based on.
 #[derive(Clone, Copy, Debug)]
-pub struct Basis {
-    /// The configuration in force.
+pub struct KnownState {
+    /// The configuration in effect.
     pub configuration: Option<VersionLabel>,
-    /// The store revision known.
+    /// The latest known store revision.
     pub revision: u64,
-    /// Milliseconds since the store confirmed it.
+    /// Milliseconds since the store confirmed the known state; none if it never did.
     pub age_ms: Option<Millis>,
 }
 
-/// Writes the lines of packet decisions.
+/// Logs packet decisions, with a line budget per kind.
 pub struct DecisionLog {
     log: Logger,
-    openings: Budget,
-    requests: Budget,
-    searches: Budget,
-    resets: Budget,
-    drops: Budget,
-    returns: Budget,
-    grants: Budget,
+    openings: LineBudget,
+    requests: LineBudget,
+    searches: LineBudget,
+    resets: LineBudget,
+    drops: LineBudget,
+    returns: LineBudget,
+    grants: LineBudget,
 }
 
 impl DecisionLog {
-    /// Lines go to this logger.
+    /// Creates a log that writes to `log`.
     pub fn new(log: Logger) -> Self {
         Self {
             log,
-            openings: Budget::default(),
-            requests: Budget::default(),
-            searches: Budget::default(),
-            resets: Budget::default(),
-            drops: Budget::default(),
-            returns: Budget::default(),
-            grants: Budget::default(),
+            openings: LineBudget::default(),
+            requests: LineBudget::default(),
+            searches: LineBudget::default(),
+            resets: LineBudget::default(),
+            drops: LineBudget::default(),
+            returns: LineBudget::default(),
+            grants: LineBudget::default(),
         }
     }
 
-    /// A flow's opening packet was sent to a target.
-    pub fn opening(&self, forwarded: &Forwarded<'_>, basis: Basis, now: Millis) {
+    /// Logs that a flow's opening packet was sent to a target.
+    pub fn opening(&self, forwarded: &Forwarded<'_>, known: KnownState, now: Millis) {
         if !self.openings.allows("opening", &self.log, now) {
             return;
         }
         let inputs = forwarded.inputs;
-        info!(self.log, "balancer: flow opens"; "event" => "opening",
-            "flow" => flow_text(forwarded.flow), "agent" => forwarded.agent.to_string(),
+        info!(self.log, "balancer: opening packet forwarded"; "event" => "opening",
+            "flow" => format_flow(forwarded.flow), "agent" => forwarded.agent.to_string(),
             "outcome" => forwarded.reason,
             "eligible" => inputs.map(|inputs| inputs.eligible),
             "load_permille" => inputs.map(|inputs| inputs.load_permille),
             "expected_ms" => inputs.and_then(|inputs| inputs.expected_ms),
             "load_age_ms" => inputs.and_then(|inputs| inputs.load_age_ms),
-            "configuration" => basis.configuration.map(|label| label.version),
-            "revision" => basis.revision, "age_ms" => basis.age_ms);
+            "configuration" => known.configuration.map(|label| label.version),
+            "revision" => known.revision, "age_ms" => known.age_ms);
     }
 
-    /// A request began in a packet that was sent to a target.
+    /// Logs that a packet with the start of a request was sent to a target.
     pub fn request(&self, id: &str, forwarded: &Forwarded<'_>, now: Millis) {
         if self.requests.allows("request", &self.log, now) {
             info!(self.log, "balancer: request sent"; "event" => "request", "request" => id,
-                "flow" => flow_text(forwarded.flow), "agent" => forwarded.agent.to_string(),
+                "flow" => format_flow(forwarded.flow), "agent" => forwarded.agent.to_string(),
                 "outcome" => forwarded.reason);
         }
     }
 
-    /// A packet of an unknown flow looks for its target.
-    pub fn search(&self, forwarded: &Forwarded<'_>, basis: Basis, now: Millis) {
+    /// Logs that a search for the target of an unknown flow began.
+    pub fn search(&self, forwarded: &Forwarded<'_>, known: KnownState, now: Millis) {
         if self.searches.allows("search", &self.log, now) {
-            info!(self.log, "balancer: flow searched"; "event" => "search",
-                "flow" => flow_text(forwarded.flow), "agent" => forwarded.agent.to_string(),
-                "revision" => basis.revision, "age_ms" => basis.age_ms);
+            info!(self.log, "balancer: target of flow searched"; "event" => "search",
+                "flow" => format_flow(forwarded.flow), "agent" => forwarded.agent.to_string(),
+                "revision" => known.revision, "age_ms" => known.age_ms);
         }
     }
 
-    /// A flow was reset.
-    pub fn reset(&self, flow: &FlowKey, reason: &'static str, basis: Basis, now: Millis) {
+    /// Logs that a flow was reset.
+    pub fn reset(&self, flow: &FlowKey, reason: &'static str, known: KnownState, now: Millis) {
         if self.resets.allows("reset", &self.log, now) {
             info!(self.log, "balancer: flow reset"; "event" => "reset",
-                "flow" => flow_text(flow), "outcome" => reason,
-                "configuration" => basis.configuration.map(|label| label.version),
-                "revision" => basis.revision, "age_ms" => basis.age_ms);
+                "flow" => format_flow(flow), "outcome" => reason,
+                "configuration" => known.configuration.map(|label| label.version),
+                "revision" => known.revision, "age_ms" => known.age_ms);
         }
     }
 
-    /// A flow's opening packet was refused, as no target has room in time.
-    pub fn refused(&self, flow: &FlowKey, inputs: QueueInputs, basis: Basis, now: Millis) {
+    /// Logs that an opening packet was refused because no target will have capacity in time.
+    pub fn refused(&self, flow: &FlowKey, inputs: QueueInputs, known: KnownState, now: Millis) {
         if self.resets.allows("reset", &self.log, now) {
             info!(self.log, "balancer: opening refused"; "event" => "reset",
-                "flow" => flow_text(flow), "outcome" => "overloaded", "ahead" => inputs.ahead,
+                "flow" => format_flow(flow), "outcome" => "overloaded", "ahead" => inputs.ahead,
                 "expected_wait_ms" => inputs.expected_wait_ms, "budget_ms" => inputs.budget_ms,
-                "configuration" => basis.configuration.map(|label| label.version),
-                "revision" => basis.revision, "age_ms" => basis.age_ms);
+                "configuration" => known.configuration.map(|label| label.version),
+                "revision" => known.revision, "age_ms" => known.age_ms);
         }
     }
 
-    /// A flow's opening packet waits until a target has room.
+    /// Logs that an opening packet waits at the balancer until a target has capacity.
     pub fn queued(&self, flow: &FlowKey, inputs: QueueInputs, now: Millis) {
         if self.openings.allows("queued", &self.log, now) {
-            info!(self.log, "balancer: opening waits for room"; "event" => "queued",
-                "flow" => flow_text(flow), "ahead" => inputs.ahead,
+            info!(self.log, "balancer: opening waits for capacity"; "event" => "queued",
+                "flow" => format_flow(flow), "ahead" => inputs.ahead,
                 "expected_wait_ms" => inputs.expected_wait_ms, "budget_ms" => inputs.budget_ms);
         }
     }
 
-    /// A flow was reset, as the target started again and sent its packet back.
+    /// Logs that a flow was reset because the target restarted and bounced its packet.
     pub fn reset_lost(&self, flow: &FlowKey, now: Millis) {
         if self.resets.allows("reset", &self.log, now) {
             info!(self.log, "agent: lost flow reset"; "event" => "reset",
-                "flow" => flow_text(flow), "outcome" => "target_restarted");
+                "flow" => format_flow(flow), "outcome" => "target_restarted");
         }
     }
 
-    /// A packet was dropped.
-    pub fn dropped(&self, flow: &FlowKey, reason: DropReason, basis: Basis, now: Millis) {
+    /// Logs that a packet was dropped.
+    pub fn dropped(&self, flow: &FlowKey, reason: DropReason, known: KnownState, now: Millis) {
         if self.drops.allows("drop", &self.log, now) {
             info!(self.log, "balancer: packet dropped"; "event" => "drop",
-                "flow" => flow_text(flow), "outcome" => reason.label(),
-                "configuration" => basis.configuration.map(|label| label.version),
-                "revision" => basis.revision, "age_ms" => basis.age_ms);
+                "flow" => format_flow(flow), "outcome" => reason.label(),
+                "configuration" => known.configuration.map(|label| label.version),
+                "revision" => known.revision, "age_ms" => known.age_ms);
         }
     }
 
-    /// A packet did not stay at a target.
+    /// Logs that an agent returned a packet to its balancer.
     pub fn returned(&self, flow: &FlowKey, reason: &str, opening: bool, now: Millis) {
         if self.returns.allows("returned", &self.log, now) {
             info!(self.log, "agent: packet returned"; "event" => "returned",
-                "flow" => flow_text(flow), "outcome" => reason, "opening" => opening);
+                "flow" => format_flow(flow), "outcome" => reason, "opening" => opening);
         }
     }
 
-    /// A packet that looks for its target went on to the next agent.
+    /// Logs that a search packet was passed on to the next agent; `left` agents remain after it.
     pub fn passed_on(&self, flow: &FlowKey, agent: Ipv4Addr, left: usize, now: Millis) {
         if self.returns.allows("passed_on", &self.log, now) {
             info!(self.log, "agent: search passed on"; "event" => "passed_on",
-                "flow" => flow_text(flow), "agent" => agent.to_string(), "left" => left);
+                "flow" => format_flow(flow), "agent" => agent.to_string(), "left" => left);
         }
     }
 
-    /// An opening packet waits for room at the target.
+    /// Logs that an opening packet waits at the agent until the target has capacity.
     pub fn waits(&self, flow: &FlowKey, waiting: u32, now: Millis) {
         if self.returns.allows("waits", &self.log, now) {
-            info!(self.log, "agent: opening waits for room"; "event" => "opening_waits",
-                "flow" => flow_text(flow), "waiting" => waiting);
+            info!(self.log, "agent: opening waits for capacity"; "event" => "opening_waits",
+                "flow" => format_flow(flow), "waiting" => waiting);
         }
     }
 
-    /// Room was granted to a balancer.
+    /// Logs that capacity was granted to a balancer.
     pub fn granted(&self, balancer: Ipv4Addr, urgent_only: bool, waiting: u32, now: Millis) {
         if self.grants.allows("granted", &self.log, now) {
-            info!(self.log, "agent: room granted"; "event" => "granted",
+            info!(self.log, "agent: capacity granted"; "event" => "granted",
                 "balancer" => balancer.to_string(), "urgent_only" => urgent_only,
                 "waiting" => waiting);
         }
     }
 
-    /// A balancer had no use for a grant.
-    pub fn declined(&self, balancer: Ipv4Addr, was_kept: bool, now: Millis) {
+    /// Logs that a balancer declined a grant, and whether it did so before the grant lapsed.
+    pub fn declined(&self, balancer: Ipv4Addr, in_time: bool, now: Millis) {
         if self.grants.allows("declined", &self.log, now) {
             info!(self.log, "agent: grant declined"; "event" => "grant_declined",
-                "balancer" => balancer.to_string(), "in_time" => was_kept);
+                "balancer" => balancer.to_string(), "in_time" => in_time);
         }
     }
 
-    /// A balancer did not answer a grant in time.
+    /// Logs that a balancer did not answer a grant in time.
     pub fn lapsed(&self, balancer: Ipv4Addr, now: Millis) {
         if self.grants.allows("lapsed", &self.log, now) {
             info!(self.log, "agent: grant lapsed"; "event" => "grant_lapsed",
@@ -223,15 +224,15 @@
         }
     }
 
-    /// The target answered an opening packet, or was found to hold a flow.
+    /// Logs that the target answered an opening packet or was found to hold a flow.
     pub fn answered(&self, flow: &FlowKey, confirmed: bool, waiting: u32, now: Millis) {
         if self.openings.allows("answered", &self.log, now) {
             info!(self.log, "agent: target answered"; "event" => "answered",
-                "flow" => flow_text(flow), "confirmed" => confirmed, "waiting" => waiting);
+                "flow" => format_flow(flow), "confirmed" => confirmed, "waiting" => waiting);
         }
     }
 }
 
-fn flow_text(flow: &FlowKey) -> String {
+fn format_flow(flow: &FlowKey) -> String {
     format!("{}>{}", flow.client, flow.service)
 }
--- a/crates/relay/src/link.rs
+++ b/crates/relay/src/link.rs
@@ -1,4 +1,4 @@
-//! The socket between daemons, and the exchange of knowledge over it.
+//! The link of a daemon to its peers: a UDP socket for messages, and fetches over TCP.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,10 +15,10 @@
 use crate::peer_stream;
 use crate::settings::CommonSettings;
 
-/// A fetch that has not brought its position for this long is tried elsewhere.
-const FETCH_PATIENCE_MS: Millis = 150;
+/// Time after which a position that a fetch has not brought is fetched from another peer.
+const FETCH_RETRY_MS: Millis = 150;
 
-/// This daemon's end of the conversation with its peers.
+/// Sends messages to peers, answers their digests and fetches their state.
 pub struct PeerLink {
     socket: UdpSocket,
     port: u16,
@@ -27,12 +27,12 @@
     metrics: FleetMetrics,
     log: Logger,
     buffer: RefCell<Vec<u8>>,
-    /// The position last fetched for, and since when.
-    wanted: Cell<(Position, Millis)>,
+    /// The position that the last fetch was started for, and when it began.
+    last_fetch: Cell<(Position, Millis)>,
 }
 
 impl PeerLink {
-    /// Opens the socket and begins to answer fetches.
+    /// Opens the socket and starts to answer fetches.
     ///
     /// # Errors
     /// When the port cannot be bound.
@@ -47,9 +47,9 @@
         let socket = UdpSocket::bind(address)
             .await
             .wrap_err_with(|| format!("bind for peers at {address}"))?;
-        let known = Rc::clone(&node);
+        let answer_node = Rc::clone(&node);
         peer_stream::serve(settings.address, settings.peer_port, move |request| {
-            known.borrow().answer(request, clock.now())
+            answer_node.borrow().answer(request, clock.now())
         })
         .await
         .wrap_err_with(|| format!("listen for peers at {address}"))?;
@@ -61,16 +61,17 @@
             metrics,
             log,
             buffer: RefCell::new(Vec::new()),
-            wanted: Cell::default(),
+            last_fetch: Cell::default(),
         }))
     }
 
-    /// The socket, to receive from.
+    /// The socket on which peers' messages arrive.
     pub fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// Sends a message; like any datagram it may be lost.
+    /// Sends a message as a datagram, which may be lost. A message that cannot be encoded or
+    /// sent is counted.
     pub fn send(&self, peer: Ipv4Addr, message: &PeerMessage<'_>) {
         let mut buffer = self.buffer.borrow_mut();
         if encode(message, &mut buffer).is_err() {
@@ -83,7 +84,7 @@
     }
 
     /// Counts a datagram that cannot be decoded.
-    pub fn refuse(&self, error: MessageError) {
+    pub fn count_undecodable(&self, error: MessageError) {
         self.metrics.refused.increment(match error {
             MessageError::UnknownVersion => "unknown_version",
             MessageError::Malformed => "malformed",
@@ -91,12 +92,12 @@
         });
     }
 
-    /// Counts a message that this role does not take.
-    pub fn refuse_unexpected(&self) {
+    /// Counts a message that this role does not accept.
+    pub fn count_unexpected(&self) {
         self.metrics.refused.increment("unexpected");
     }
 
-    /// Takes in a digest and does what it calls for.
+    /// Applies a digest and carries out the resulting reaction.
     pub fn on_digest(self: &Rc<Self>, digest: &Digest, sender: Ipv4Addr) {
         if digest.sender != sender.to_bits() {
             return self.metrics.refused.increment("wrong_sender");
@@ -113,12 +114,12 @@
             self.send(sender, &PeerMessage::Record(record));
         }
         if reaction.spread {
-            self.spread_news();
+            self.propagate_updates();
         }
     }
 
-    /// Tells some peers what this daemon knows, and agents of new records.
-    pub fn spread_news(&self) {
+    /// Sends this daemon's digest to some peers, and new records to their targets' agents.
+    pub fn propagate_updates(&self) {
         let (receivers, records) = {
             let mut node = self.node.borrow_mut();
             (node.news_receivers(), node.take_recorded())
@@ -133,16 +134,16 @@
         }
     }
 
-    /// Asks the balancers to whom packets may be handed off whether they are there.
-    pub fn ask_helpers(&self) {
+    /// Queries the balancers to which packets may be handed off, to learn whether they respond.
+    pub fn query_helpers(&self) {
         let helpers = self.node.borrow().helpers();
         for helper in helpers {
             self.send_digest(helper, true);
         }
     }
 
-    /// Tells some balancers whether this one keeps up, and asks whether they do.
-    pub fn compare_loads(&self, overloaded: bool) {
+    /// Reports to some balancers whether this one is overloaded, and requests their reports.
+    pub fn exchange_load_reports(&self, overloaded: bool) {
         let peers = {
             let mut node = self.node.borrow_mut();
             node.overloaded = overloaded;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Tells all known balancers that this one is about to stop.
+    /// Notifies all known balancers of the zone that this one is shutting down.
     pub fn announce_stop(&self) {
         let balancers = {
             let mut node = self.node.borrow_mut();
@@ -165,15 +166,15 @@
         }
     }
 
-    /// Tells balancers that the target beside this agent has ended.
-    pub fn announce_end(&self) {
+    /// Notifies balancers that this agent's target has ended.
+    pub fn announce_target_end(&self) {
         let balancers = self.node.borrow().farewell_receivers();
         for balancer in balancers {
             self.send(balancer, &PeerMessage::TargetEnded);
         }
     }
 
-    /// Asks some agents whether they are reached.
+    /// Probes some agents to learn whether they can be reached.
     pub fn probe_agents(&self) {
         let agents = self.node.borrow().agents_to_probe();
         for agent in agents {
@@ -181,15 +182,16 @@
         }
     }
 
-    /// Asks the agents of known targets what stands beside them.
-    pub fn ask_agents(&self) {
+    /// Queries agents of known targets for the status of their targets.
+    pub fn query_agents(&self) {
         let agents = self.node.borrow().agents_to_ask();
         for agent in agents {
             self.send_digest(agent, true);
         }
     }
 
-    /// Keeps in touch with peers; to be called regularly.
+    /// Expires old state, sends digests to the peers that are due and updates the gauges; to be
+    /// called regularly.
     pub fn tick(&self) {
         let now = self.clock.now();
         let receivers = {
@@ -197,24 +199,25 @@
             node.check_freshness(now);
             node.tick_receivers(now)
         };
-        for (receiver, ask) in receivers {
-            self.send_digest(receiver, ask);
+        for (receiver, reply) in receivers {
+            self.send_digest(receiver, reply);
         }
         self.update_gauges();
     }
 
+    /// Sends this daemon's digest; `reply` requests the peer's digest in return.
     fn send_digest(&self, peer: Ipv4Addr, reply: bool) {
         let digest = self.node.borrow().digest(reply, self.clock.now());
         self.send(peer, &PeerMessage::Digest(digest));
     }
 
-    /// Fetches what a peer knows, unless the same is on its way from another.
+    /// Fetches a peer's state up to `position`, unless a recent fetch may still bring it.
     fn fetch(self: &Rc<Self>, peer: Ipv4Addr, position: Position, now: Millis) {
-        let (wanted, since) = self.wanted.get();
-        if position <= wanted && now.saturating_sub(since) < FETCH_PATIENCE_MS {
+        let (last_position, began) = self.last_fetch.get();
+        if position <= last_position && now.saturating_sub(began) < FETCH_RETRY_MS {
             return;
         }
-        self.wanted.set((position, now));
+        self.last_fetch.set((position, now));
         let link = Rc::clone(self);
         tokio::task::spawn_local(async move { link.fetch_from(peer).await });
     }
@@ -228,11 +231,11 @@
         match result {
             Ok(update) => {
                 self.metrics.fetches.increment("done");
-                // It is not known how much of the time was the answer's way.
+                // The answer's transit time is unknown; the whole duration is its upper bound.
                 let update = update.delayed_by(now.saturating_sub(began));
                 let changed = self.node.borrow_mut().apply(update, "peer", now);
                 if changed {
-                    self.spread_news();
+                    self.propagate_updates();
                 }
             }
             Err(error) => {
--- a/crates/relay/src/receive.rs
+++ b/crates/relay/src/receive.rs
@@ -1,38 +1,42 @@
-//! Takes datagrams from sockets.
+//! Receives datagrams from sockets in batches.
 
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddr};
 
 use tokio::net::UdpSocket;
 
-/// Room for one datagram.
-pub const DATAGRAM_ROOM: usize = 2_048;
-/// Datagrams taken in one turn before other tasks get theirs.
-const DATAGRAMS_A_TURN: usize = 64;
+/// Size of the buffer for one datagram.
+pub const DATAGRAM_BUFFER_BYTES: usize = 2_048;
+/// Most datagrams received in one turn before other tasks run.
+const DATAGRAMS_PER_TURN: usize = 64;
 
-/// Hands every datagram to `take` for as long as the process lives; `turn` runs
-/// after each run of datagrams.
-pub async fn receive(socket: &UdpSocket, take: impl Fn(&mut [u8], Ipv4Addr), turn: impl Fn()) {
-    let mut buffer = vec![0; DATAGRAM_ROOM];
+/// Passes every datagram and its sender to `handle` for the lifetime of the process. Calls
+/// `after_batch` after each batch of datagrams.
+pub async fn receive(
+    socket: &UdpSocket,
+    handle: impl Fn(&mut [u8], Ipv4Addr),
+    after_batch: impl Fn(),
+) {
+    let mut buffer = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
-        // An error here is one of an earlier send; receiving goes on.
+        // An error here stems from an earlier send and does not affect receiving.
         let _ = socket.readable().await;
-        receive_ready(socket, &mut buffer, DATAGRAMS_A_TURN, &take);
-        turn();
+        receive_ready(socket, &mut buffer, DATAGRAMS_PER_TURN, &handle);
+        after_batch();
         tokio::task::yield_now().await;
     }
 }
 
-/// Hands the datagrams that have arrived, at most `limit` of them, to `take`.
+/// Passes the datagrams that have arrived, at most `limit`, and their senders to `handle`.
 pub fn receive_ready(
     socket: &UdpSocket,
     buffer: &mut [u8],
     limit: usize,
-    mut take: impl FnMut(&mut [u8], Ipv4Addr),
+    mut handle: impl FnMut(&mut [u8], Ipv4Addr),
 ) {
     for _ in 0..limit {
         match socket.try_recv_from(buffer) {
-            Ok((length, SocketAddr::V4(sender))) => take(&mut buffer[..length], *sender.ip()),
+            Ok((length, SocketAddr::V4(sender))) => handle(&mut buffer[..length], *sender.ip()),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return,
             Ok(_) | Err(_) => {}
         }
--- a/crates/relay/tests/backlog.rs
+++ b/crates/relay/tests/backlog.rs
@@ -1,9 +1,9 @@
-//! What becomes of packets that a process has no time for.
+//! The backlog of packets that a process has no time for yet.
 
 use weirhinge_relay::Backlog;
 
 #[test]
-fn packets_keep_their_order() {
+fn packets_leave_in_order_of_arrival() {
     let mut backlog = Backlog::default();
     backlog.push(b"first", 0);
     backlog.push(b"second", 1);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn packets_that_were_sent_again_since_are_dropped() {
+fn packet_that_waited_past_its_retransmission_is_dropped() {
     let mut backlog = Backlog::default();
     backlog.push(b"old", 0);
     backlog.push(b"young", 100);
@@ -24,25 +24,25 @@
 }
 
 #[test]
-fn a_full_backlog_drops_its_oldest() {
+fn full_backlog_drops_oldest_packet() {
     let mut backlog = Backlog::default();
-    for number in 0..1_030_u32 {
-        backlog.push(&number.to_be_bytes(), 0);
+    for index in 0..1_030_u32 {
+        backlog.push(&index.to_be_bytes(), 0);
     }
     assert_eq!(backlog.next(1), Some(6_u32.to_be_bytes().to_vec()));
     assert_eq!(backlog.take_dropped(), 6);
 }
 
 #[test]
-fn a_process_is_pressed_for_a_while_after_a_packet_waited_long() {
+fn long_wait_signals_pressure_for_a_period() {
     let mut backlog = Backlog::default();
-    assert!(!backlog.is_pressed(0));
-    // Packets that arrive together wait for a moment.
+    assert!(!backlog.is_under_pressure(0));
+    // Packets that arrive together wait for a short time without pressure.
     backlog.push(b"packet", 0);
     backlog.next(5);
-    assert!(!backlog.is_pressed(6));
+    assert!(!backlog.is_under_pressure(6));
     backlog.push(b"packet", 10);
     backlog.next(25);
-    assert!(backlog.is_pressed(400));
-    assert!(!backlog.is_pressed(525));
+    assert!(backlog.is_under_pressure(400));
+    assert!(!backlog.is_under_pressure(525));
 }
