--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -29,10 +29,10 @@
 use crate::status::{Status, serve_status};
 
 /// Interval at which pending opening packets are checked.
-const OPENINGS_POLL_INTERVAL: Duration = Duration::from_millis(60);
+const OPENINGS_POLL: Duration = Duration::from_millis(60);
 /// The same interval while balancers request capacity. It is shorter so that capacity reserved
 /// by an unused grant soon goes to another balancer.
-const GRANTS_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const GRANTS_POLL: Duration = Duration::from_millis(20);
 /// Interval at which digests are sent and old state is dropped.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which digests are sent in the period after the start.
@@ -164,12 +164,7 @@
     async fn poll_openings(self: Rc<Self>) {
         loop {
             let has_requests = self.core.borrow().asking() > 0;
-            tokio::time::sleep(if has_requests {
-                GRANTS_POLL_INTERVAL
-            } else {
-                OPENINGS_POLL_INTERVAL
-            })
-            .await;
+            tokio::time::sleep(if has_requests { GRANTS_POLL } else { OPENINGS_POLL }).await;
             self.process_pending_openings();
             self.report_search_results();
             self.check_flows_after_restart();
