--- a/crates/relay/src/agent/grants.rs
+++ b/crates/relay/src/agent/grants.rs
@@ -47,7 +47,7 @@
     /// Logs and counts grants that balancers did not answer in time.
     pub(super) fn report_lapsed_grants(&self, now: Millis) {
         loop {
-            let lapsed = self.core.borrow_mut().next_lapsed();
+            let lapsed = self.core.borrow_mut().next_lapsed_balancer();
             let Some(balancer) = lapsed else { return };
             self.metrics.grants_lapsed.inc();
             self.decisions.lapsed(balancer, now);
--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -163,7 +163,7 @@
     /// become due without any output of the target.
     async fn poll_openings(self: Rc<Self>) {
         loop {
-            let has_requests = self.core.borrow().asking() > 0;
+            let has_requests = self.core.borrow().requesting_balancers() > 0;
             tokio::time::sleep(if has_requests { GRANTS_POLL } else { OPENINGS_POLL }).await;
             self.process_pending_openings();
             self.report_search_results();
@@ -224,16 +224,16 @@
     fn update_target_status(&self) {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
-        core.learn_routes(self.node.borrow().view(), now);
+        core.update_routes(self.node.borrow().view(), now);
         self.metrics.waiting.set(i64::from(core.waiting()));
         self.metrics.flows.set(core.flow_count() as i64);
-        self.metrics.balancers_asking.set(core.asking() as i64);
+        self.metrics.balancers_asking.set(core.requesting_balancers() as i64);
         self.node.borrow_mut().claim = Some(TargetClaim {
             service: self.service.clone(),
             alive: !self.target_unreachable.get(),
             load: core.load(now),
             leaving: self.leaving.get(),
-            recorded: core.is_sized(),
+            recorded: core.has_known_slots(),
             without_former_flows: core.without_former_flows(now),
         });
     }
@@ -242,7 +242,9 @@
     /// would otherwise each wait some 350 ms for it until a balancer has learned that it does
     /// not answer. A target that sent anything since the stop was requested has not ended.
     async fn announce_ended_target(&self, target: SocketAddrV4, stop_requested_at: Millis) {
-        if refuses_connections(target).await && !self.core.borrow().wrote_since(stop_requested_at) {
+        if refuses_connections(target).await
+            && !self.core.borrow().has_output_since(stop_requested_at)
+        {
             info!(self.log, "agent: target has ended"; "event" => "target_ended");
             self.link.announce_target_end();
         }
--- a/crates/relay/src/agent/output.rs
+++ b/crates/relay/src/agent/output.rs
@@ -5,7 +5,7 @@
 
 use slog::info;
 use weirhinge_fleet::{Millis, PeerMessage, ReturnReason, ServiceId};
-use weirhinge_steering::{BreakerChange, FlowKey, HoldsNotice, OutputDecision, PacketHead};
+use weirhinge_steering::{BreakerChange, FlowKey, HoldsNotice, OutputDecision, PacketHeader};
 
 use super::Daemon;
 use crate::platform::Platform;
@@ -23,18 +23,18 @@
 
     fn handle_target_packet(&self, packet: &mut [u8]) {
         let now = self.clock.now();
-        let head = match self.platform.decode(packet) {
-            Ok(head) => head,
+        let header = match self.platform.decode(packet) {
+            Ok(header) => header,
             Err(malformed) => return self.metrics.dropped.increment(malformed.label()),
         };
         if let Some(status) = self.platform.answer_status(packet) {
-            self.core.borrow_mut().answer_begins(&head.target_flow(), status, now);
+            self.core.borrow_mut().record_answer_status(&header.target_flow(), status, now);
         }
-        let decision = self.core.borrow_mut().output(&head, now);
+        let decision = self.core.borrow_mut().output(&header, now);
         self.report_breaker_change();
         match decision {
             OutputDecision::ToClient { notice } => {
-                let client = SocketAddrV4::new(*head.destination.ip(), self.client_port);
+                let client = SocketAddrV4::new(*header.destination.ip(), self.client_port);
                 // A datagram that is lost here is retransmitted by the target.
                 let _ = self.output.try_send_to(packet, client.into());
                 self.metrics.to_clients.inc();
@@ -44,7 +44,7 @@
             }
             undelivered => {
                 self.platform.restore_bounced(packet);
-                self.execute_decision(undelivered, &head, packet, now);
+                self.execute_decision(undelivered, &header, packet, now);
             }
         }
     }
@@ -72,18 +72,18 @@
     pub(super) fn execute_decision(
         &self,
         decision: OutputDecision,
-        head: &PacketHead,
+        header: &PacketHeader,
         packet: &[u8],
         now: Millis,
     ) {
         match decision {
             OutputDecision::Return { balancer, granted } => {
                 let reason = ReturnReason::Bounced;
-                self.return_packet(head, packet, balancer, reason, granted, now);
+                self.return_packet(header, packet, balancer, reason, granted, now);
             }
             OutputDecision::PassOn { agent, path } => {
                 self.metrics.returned.increment("passed_on");
-                self.decisions.passed_on(&head.client_flow(), agent, path.next.len(), now);
+                self.decisions.passed_on(&header.client_flow(), agent, path.next.len(), now);
                 let message = PeerMessage::Forward {
                     service: ServiceId::of(&self.service).0,
                     search: Some(path),
@@ -95,7 +95,7 @@
                 self.link.send(agent, &message);
             }
             OutputDecision::Reset { sequence } => {
-                self.reset_lost_flow(&head.client_flow(), sequence, now)
+                self.reset_lost_flow(&header.client_flow(), sequence, now)
             }
             OutputDecision::ToClient { .. } => {}
             OutputDecision::Drop(_) => self.metrics.dropped.increment("unknown_delivery"),
@@ -116,7 +116,7 @@
     pub(super) fn report_search_results(&self) {
         let now = self.clock.now();
         loop {
-            let found = self.core.borrow_mut().next_found(now);
+            let found = self.core.borrow_mut().next_search_notice(now);
             match found {
                 Some(notice) => self.send_holds_notice(&notice, now),
                 None => return,
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -17,8 +17,8 @@
 use weirhinge_fleet::{Millis, PeerMessage, PeerRole, SearchPath, ServiceId, decode};
 use weirhinge_observe::Metrics;
 use weirhinge_steering::{
-    Balancer, BalancerLimits, ClientPacket, Context, Decision, DropReason, FlowKey, Forward,
-    ForwardReason, PacketHead, ResetReason, RoomGrant,
+    Balancer, BalancerLimits, CapacityGrant, ClientPacket, Context, Decision, DropReason, FlowKey,
+    Forward, ForwardReason, PacketHeader, ResetReason,
 };
 
 use crate::backlog::Backlog;
@@ -164,21 +164,21 @@
 
     fn process_packet(&self, packet: &[u8], helpers: &[Ipv4Addr], now: Millis) {
         let began = Instant::now();
-        let head = match self.platform.decode(packet) {
-            Ok(head) => head,
+        let header = match self.platform.decode(packet) {
+            Ok(header) => header,
             Err(malformed) => return self.metrics.dropped.increment(malformed.label()),
         };
         let decision = self.decide(now, |core, context| {
             let context = Context { helpers, ..*context };
-            core.client_packet(&context, ClientPacket { head: &head, bytes: packet })
+            core.handle_client_packet(&context, ClientPacket { header: &header, bytes: packet })
         });
         self.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
         if let (Decision::Forward(forward), Some(id)) =
             (&decision, self.platform.request_id(packet))
         {
-            self.decisions.request(id, &forwarded(&head.client_flow(), forward), now);
+            self.decisions.request(id, &forwarded(&header.client_flow(), forward), now);
         }
-        self.execute_decision(decision, &head, packet, now);
+        self.execute_decision(decision, &header, packet, now);
     }
 
     fn handle_peer_message(&self, datagram: &[u8], sender: Ipv4Addr) {
@@ -189,8 +189,13 @@
         };
         match message {
             PeerMessage::Digest(digest) => {
-                if let Some(claim) = &digest.target {
-                    self.core.borrow_mut().claimed(sender, digest.zone, claim, now);
+                if let Some(target_status) = &digest.target {
+                    self.core.borrow_mut().note_target_status(
+                        sender,
+                        digest.zone,
+                        target_status,
+                        now,
+                    );
                 }
                 self.link.on_digest(&digest, sender);
                 self.query_agents_if_regained();
@@ -199,30 +204,30 @@
                 }
             }
             PeerMessage::Returned { reason, granted, load, packet } => {
-                let Ok(head) = self.platform.decode(packet) else { return };
+                let Ok(header) = self.platform.decode(packet) else { return };
                 let decision = self.decide(now, |core, context| {
-                    core.heard(sender, load, now);
-                    let packet = ClientPacket { head: &head, bytes: packet };
-                    core.returned_packet(context, packet, sender, reason, granted)
+                    core.note_answer(sender, load, now);
+                    let packet = ClientPacket { header: &header, bytes: packet };
+                    core.handle_returned_packet(context, packet, sender, reason, granted)
                 });
-                self.execute_decision(decision, &head, packet, now);
+                self.execute_decision(decision, &header, packet, now);
             }
             PeerMessage::Holds { client, service, confirmed, load } => {
                 let flow = FlowKey { client: endpoint(client), service: endpoint(service) };
-                let waited = self.core.borrow_mut().holds(flow, sender, confirmed, load, now);
+                let waited = self.core.borrow_mut().note_holder(flow, sender, confirmed, load, now);
                 if let Some(waited) = waited {
                     self.metrics.opening_seconds.observe(waited as f64 / 1_000.0);
                 }
             }
             PeerMessage::Waits { load } => {
-                self.core.borrow_mut().heard(sender, load, now);
+                self.core.borrow_mut().note_answer(sender, load, now);
             }
             PeerMessage::HandOff { packet } => self.handle_handed_off_packet(packet, now),
-            PeerMessage::TargetEnded => self.core.borrow_mut().target_ended(sender, now),
-            PeerMessage::ProbeAnswer => self.core.borrow_mut().reached(now),
+            PeerMessage::TargetEnded => self.core.borrow_mut().note_target_ended(sender, now),
+            PeerMessage::ProbeAnswer => self.core.borrow_mut().note_probe_answer(now),
             PeerMessage::Grant { service, urgent_only, load } => {
                 let service = ServiceId(service);
-                let grant = RoomGrant { agent: sender, service, urgent_only, load };
+                let grant = CapacityGrant { agent: sender, service, urgent_only, load };
                 self.handle_grant(&grant, now);
             }
             PeerMessage::Forward { .. }
@@ -243,14 +248,20 @@
         decide(&mut self.core.borrow_mut(), &context)
     }
 
-    fn execute_decision(&self, decision: Decision, head: &PacketHead, packet: &[u8], now: Millis) {
-        let flow = head.client_flow();
+    fn execute_decision(
+        &self,
+        decision: Decision,
+        header: &PacketHeader,
+        packet: &[u8],
+        now: Millis,
+    ) {
+        let flow = header.client_flow();
         match decision {
             Decision::Forward(forward) => {
                 self.log_forwarded(&flow, &forward, now);
                 self.forward(&forward, forward.agent, &forward.next, packet);
-                for row in &forward.further_rows {
-                    if let Some((first, next)) = row.split_first() {
+                for path in &forward.further_paths {
+                    if let Some((first, next)) = path.split_first() {
                         self.forward(&forward, *first, next, packet);
                     }
                 }
@@ -336,7 +347,7 @@
     fn query_agents_if_regained(&self) {
         let regained = self.node.borrow_mut().take_regained();
         if let Some(regained_at) = regained {
-            self.core.borrow_mut().store_regained(regained_at);
+            self.core.borrow_mut().note_store_regained(regained_at);
             self.link.query_agents();
         }
     }
--- a/crates/relay/src/balancer/queueing.rs
+++ b/crates/relay/src/balancer/queueing.rs
@@ -3,16 +3,16 @@
 use std::net::Ipv4Addr;
 
 use weirhinge_fleet::{Millis, OpeningDemand, PeerMessage, ServiceId};
-use weirhinge_steering::{GrantAnswer, RoomGrant, SettledOpening};
+use weirhinge_steering::{CapacityGrant, GrantOutcome, ResolvedOpening};
 
 use super::Daemon;
 use crate::platform::Platform;
 
 impl<P: Platform> Daemon<P> {
     /// Answers an agent's grant with the first queued opening that may use it, or declines it.
-    pub(super) fn handle_grant(&self, grant: &RoomGrant, now: Millis) {
-        let GrantAnswer { granted, settled } =
-            self.decide(now, |core, context| core.grant(context, grant));
+    pub(super) fn handle_grant(&self, grant: &CapacityGrant, now: Millis) {
+        let GrantOutcome { granted, resolved } =
+            self.decide(now, |core, context| core.use_grant(context, grant));
         self.metrics.grants.increment(if granted.is_some() { "used" } else { "declined" });
         match granted {
             Some(opening) => {
@@ -21,7 +21,7 @@
             }
             None => self.link.send(grant.agent, &PeerMessage::Declined),
         }
-        for opening in settled {
+        for opening in resolved {
             self.execute_resolved(opening, now);
         }
         self.update_queue_length();
@@ -30,11 +30,11 @@
     /// Refuses openings that cannot be served in time, and requests capacity from further
     /// agents for those that still wait.
     pub(super) fn process_queue(&self, now: Millis) {
-        let refused = self.core.borrow_mut().due_refusals(now);
+        let refused = self.core.borrow_mut().refuse_overdue(now);
         for opening in refused {
             self.execute_resolved(opening, now);
         }
-        let requests = self.decide(now, |core, context| core.due_room_requests(context));
+        let requests = self.decide(now, |core, context| core.due_capacity_requests(context));
         for request in requests {
             self.request_capacity(&request.agents, request.service, request.demand);
         }
@@ -54,9 +54,9 @@
     }
 
     /// Executes the decision about an opening that no longer waits.
-    fn execute_resolved(&self, opening: SettledOpening, now: Millis) {
-        let SettledOpening { head, bytes, decision, .. } = opening;
-        self.execute_decision(decision, &head, &bytes, now);
+    fn execute_resolved(&self, opening: ResolvedOpening, now: Millis) {
+        let ResolvedOpening { header, bytes, decision, .. } = opening;
+        self.execute_decision(decision, &header, &bytes, now);
     }
 
     pub(super) fn update_queue_length(&self) {
--- a/crates/relay/src/balancer/readiness.rs
+++ b/crates/relay/src/balancer/readiness.rs
@@ -56,7 +56,7 @@
                 // What arrived during the pause is still unread.
                 continue;
             }
-            if self.core.borrow().doubts_reach(now) {
+            if self.core.borrow().needs_probes(now) {
                 self.link.probe_agents();
             }
             let isolated = self.core.borrow().is_isolated(now);
@@ -89,7 +89,7 @@
     fn update_overload(&self, overload: &mut OverloadState, status: &Status, now: Millis) {
         let longest_wait_ms = self.backlog.borrow_mut().take_longest_wait();
         let peers = self.node.borrow().peer_load(now);
-        let withdrawn = overload.monitor.look(longest_wait_ms, peers, now);
+        let withdrawn = overload.monitor.observe(longest_wait_ms, peers, now);
         let overloaded = overload.monitor.is_overloaded();
         overload.overloaded_polls = if overloaded { overload.overloaded_polls + 1 } else { 0 };
         let has_changed = self.node.borrow().overloaded != overloaded;
