--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs the daemons for targets that end flows themselves: a balancer and an
-//! agent, each on one thread, around the decisions of `weirhinge-steering` and
-//! the knowledge of `weirhinge-fleet`.
+//! The relay daemons: a balancer and an agent for targets that terminate flows themselves.
 //!
-//! How the outside speaks is behind the typed seam [`Platform`].
+//! Each daemon runs on one thread. It receives and sends packets, reads the platform's store and
+//! exchanges state with its peers. `weirhinge-steering` makes the decisions, `weirhinge-fleet`
+//! keeps the state of the fleet. Packet and document formats are behind the [`Platform`] trait.
 
 mod agent;
 mod backlog;
@@ -18,8 +18,8 @@
 mod platform;
 mod process;
 mod receive;
-mod refused_items;
 mod reload;
+mod reported_rejections;
 mod settings;
 mod status;
 mod store;
@@ -29,7 +29,7 @@
 pub use backlog::Backlog;
 pub use balancer::run as run_balancer;
 pub use fleet_node::{FleetNode, Reaction};
-pub use platform::{AnswerBehind, ListPage, Platform, RejectReason, RejectedItem, WatchPage};
+pub use platform::{ListPage, Platform, RejectReason, RejectedItem, StaleResponse, WatchPage};
 pub use process::{ProcessLog, Signals, run_process};
-pub use refused_items::RefusedItems;
+pub use reported_rejections::ReportedRejections;
 pub use settings::{AgentSettings, BalancerSettings, CommonSettings, RawSettings};
--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -1,24 +1,24 @@
-//! The seam towards the platform: how packets are laid out, and how the store is
-//! asked and answers. An implementation translates and decides nothing.
+//! The interface to the platform: the packet format and the store's requests and responses.
+//! Implementations translate formats and make no decisions.
 
 use weirhinge_fleet::{
     Millis, Position, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
 };
 use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHead};
 
-/// What is wrong with an item of the store, for counters.
+/// Why an item of the store was rejected, for logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its bytes are no document of the stated form.
+    /// Its bytes cannot be parsed as the expected document.
     Form,
-    /// A number, an address or a name is outside of what any writer means.
+    /// A number, an address or a name is outside its valid range.
     Range,
-    /// Its key looks like one of those that are read, and is none.
+    /// Its key resembles the keys of documents, but is malformed.
     Key,
 }
 
 impl RejectReason {
-    /// Label for logs and counters.
+    /// Returns the label for logs and counters.
     pub fn label(self) -> &'static str {
         match self {
             RejectReason::Form => "form",
@@ -32,80 +32,82 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: field {field}: found {found}, expected {expected}")]
 pub struct RejectedItem {
-    /// What kind of fault it is.
+    /// The kind of fault.
     pub reason: RejectReason,
-    /// The item's key, or the call for an answer that cannot be used at all.
+    /// The item's key, or the request if its response as a whole cannot be used.
     pub key: String,
-    /// Path of the field.
+    /// Path of the invalid field.
     pub field: String,
-    /// The value found, shortened.
+    /// The value found, truncated.
     pub found: String,
-    /// What would have been accepted.
+    /// The values that would have been accepted.
     pub expected: String,
 }
 
 /// One page of a listing of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListPage {
-    /// The store's position when it answered.
+    /// The store's position when it created the response.
     pub at: Position,
-    /// The key after which the next page begins; none on the last page.
+    /// The key after which the next page begins; `None` on the last page.
     pub next_after: Option<String>,
     /// The configuration, if it is on this page.
     pub configuration: Option<VersionedConfiguration>,
     /// The targets on this page.
     pub targets: Vec<VersionedTarget>,
-    /// Targets whose records on this page cannot be used: whatever they said before does not
-    /// count any more.
+    /// Targets whose records on this page cannot be used. Their earlier records are no longer
+    /// valid.
     pub removed: Vec<VersionedTarget>,
     /// The names of the evacuated zones on this page.
     pub evacuated: Vec<String>,
-    /// Items that cannot be used; each is left out whole.
+    /// Items that cannot be used; none of their fields are applied.
     pub rejected: Vec<RejectedItem>,
 }
 
-/// What changed in the store after a position.
+/// The changes of the store after a position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchPage {
     /// The position to continue from.
     pub at: Position,
     /// The configuration, if it changed.
     pub configuration: Option<VersionedConfiguration>,
-    /// Targets that changed, in the store's order; one whose record cannot be used any more
+    /// Targets that changed, in the store's order; a target whose new record cannot be used
     /// counts as removed.
     pub targets: Vec<VersionedTarget>,
     /// Evacuations that began or ended, in the store's order.
     pub zones: Vec<ZoneChange>,
-    /// Items that cannot be used; each is left out whole.
+    /// Items that cannot be used; none of their fields are applied.
     pub rejected: Vec<RejectedItem>,
 }
 
-/// An answer that was made from an older state than the reader has seen already.
+/// A response that reflects an older state than the one already known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("answer as of position {at}, known is {after}")]
-pub struct AnswerBehind {
-    /// The position that the answer states.
+#[error("response as of position {at}, older than the known position {known}")]
+pub struct StaleResponse {
+    /// The position of the response.
     pub at: Position,
-    /// The position that was known.
-    pub after: Position,
+    /// The position already known.
+    pub known: Position,
 }
 
 impl WatchPage {
-    /// What the answer to a watch for changes after `after` says, `elapsed_ms` after the
-    /// watch began. The store answers a watch without changes once `wait_ms` are over;
-    /// what the answer took longer it spent on its way. When an answer with changes was
-    /// made is not known; it is taken for new, which the limit on a call bounds.
+    /// Converts the response to a watch for changes after `after` into an update. The response
+    /// arrived `elapsed_ms` after the watch began.
+    ///
+    /// Without changes, the store responds after `wait_ms`; the time beyond that was spent in
+    /// transit and becomes the age of the update. With changes, the time of the response is
+    /// unknown. Its age is assumed to be 0; the timeout of the call bounds the error.
     ///
     /// # Errors
-    /// When the answer does not prove that the store's state is the one known.
+    /// Returns [`StaleResponse`] if the response reflects a state older than `after`.
     pub fn into_update(
         self,
         after: Position,
         wait_ms: Millis,
         elapsed_ms: Millis,
-    ) -> Result<Update, AnswerBehind> {
+    ) -> Result<Update, StaleResponse> {
         if self.at < after {
-            return Err(AnswerBehind { at: self.at, after });
+            return Err(StaleResponse { at: self.at, known: after });
         }
         let is_unchanged = self.at == after;
         Ok(Update {
@@ -121,54 +123,55 @@
     }
 }
 
-/// How the platform speaks.
+/// Translates between the platform's formats and the types of the relay.
 pub trait Platform: Clone + 'static {
-    /// Reads a packet's head.
+    /// Decodes the header of a packet.
     ///
     /// # Errors
-    /// Says what is wrong with the bytes.
+    /// Returns why the packet is malformed.
     fn decode(&self, packet: &[u8]) -> Result<PacketHead, MalformedPacket>;
 
-    /// Writes the label that comes back if a target bounces the packet.
+    /// Writes the echo label, which the packet carries back if a target bounces it.
     fn write_echo(&self, packet: &mut [u8], echo: u32);
 
-    /// Makes a bounced packet what its sender wrote.
+    /// Restores a bounced packet to the bytes that its sender wrote.
     fn restore_bounced(&self, packet: &mut [u8]);
 
-    /// Builds a reset from a flow's service to its client.
+    /// Builds a reset packet from a flow's service to its client.
     fn build_reset(&self, flow: &FlowKey, sequence: u32) -> Vec<u8>;
 
-    /// The identifier of the request that begins in this packet, if one does.
+    /// Returns the ID of the request that begins in this packet, if any.
     fn request_id<'a>(&self, packet: &'a [u8]) -> Option<&'a str>;
 
-    /// How a target answers a request, if its answer begins in this packet.
+    /// Returns the status of a target's answer to a request, if the answer begins in this packet.
     fn answer_status(&self, packet: &[u8]) -> Option<AnswerStatus>;
 
-    /// Which life of the store made an answer with these headers; 0 from a store that does
-    /// not tell.
+    /// Returns the store's era according to the headers of a response; 0 if the store sends
+    /// none.
     ///
     /// # Errors
-    /// When the headers tell it in a form that cannot be read.
+    /// When the era in the headers cannot be parsed.
     fn store_era(&self, headers: &http::HeaderMap) -> Result<u64, RejectedItem>;
 
-    /// Path and query that list the store's items after a key.
+    /// Returns the path and query of a request that lists the store's items after a key.
     fn list_path(&self, after: Option<&str>) -> String;
 
-    /// Path and query that wait for changes after a revision of the store's present era.
+    /// Returns the path and query of a request that waits up to `wait_ms` for changes after a
+    /// revision of the store's current era.
     fn watch_path(&self, after: u64, wait_ms: Millis) -> String;
 
-    /// Reads a listing that the store made in this era.
+    /// Parses a page of a listing from this era of the store.
     ///
     /// # Errors
-    /// When the answer as a whole cannot be used.
+    /// When the response as a whole cannot be used.
     fn read_list(&self, era: u64, body: &[u8]) -> Result<ListPage, RejectedItem>;
 
-    /// Reads an answer to a watch that the store made in this era.
+    /// Parses the response to a watch from this era of the store.
     ///
     /// # Errors
-    /// When the answer as a whole cannot be used.
+    /// When the response as a whole cannot be used.
     fn read_watch(&self, era: u64, body: &[u8]) -> Result<WatchPage, RejectedItem>;
 
-    /// Path at which the platform asks whether a daemon is ready.
+    /// Returns the path at which the platform queries a daemon's readiness.
     fn readiness_path(&self) -> &'static str;
 }
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's store: a listing, then watches.
+//! Reads the platform's store: lists it once, then watches for changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,37 +14,37 @@
 use crate::clock::Clock;
 use crate::fleet_node::FleetNode;
 use crate::metrics::StoreMetrics;
-use crate::platform::{AnswerBehind, Platform, RejectedItem};
-use crate::refused_items::RefusedItems;
+use crate::platform::{Platform, RejectedItem, StaleResponse};
+use crate::reported_rejections::ReportedRejections;
 use crate::settings::CommonSettings;
-use crate::store_client::{StoreAnswer, StoreClient, StoreError};
+use crate::store_client::{StoreClient, StoreError, StoreResponse};
 
-/// Longest wait for an answer that comes at once.
-const ANSWER_LIMIT: Duration = Duration::from_millis(1_200);
-/// How much longer than asked a watch may take.
-const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// How often a balancer that does not read looks whether it should.
-const IDLE_POLL: Duration = Duration::from_millis(40);
-/// The same while nothing is known yet.
-const START_POLL: Duration = Duration::from_millis(4);
-/// Most pages of one listing.
-const MAXIMUM_PAGES: usize = 200;
+/// Timeout of a request that the store answers immediately.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// How much longer than its requested wait a watch may take.
+const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
+/// How often a balancer that does not read the store checks whether it should.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// The same as long as the balancer knows no state at all.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Most pages read in one listing.
+const MAX_PAGES: usize = 200;
 
 /// Why the whole store is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListingReason {
-    /// Nothing is known yet.
+    /// No state is known yet.
     Start,
-    /// The store was out of reach since the last listing.
+    /// The store was unreachable since the last listing.
     Outage,
-    /// The store does not have the changes after the known position.
+    /// The store no longer has the changes after the known position.
     HistoryGone,
-    /// The store came back from a copy: its revisions are others.
+    /// The store was restored from a backup, so the known revisions do not apply.
     Restored,
 }
 
 impl ListingReason {
-    /// Label for logs and counters.
+    /// Returns the label for logs and counters.
     fn label(self) -> &'static str {
         match self {
             ListingReason::Start => "start",
@@ -55,7 +55,7 @@
     }
 }
 
-/// Reads the store whenever this balancer should.
+/// Reads the store while this balancer is one of its readers.
 pub struct StoreReader<P> {
     platform: P,
     client: StoreClient,
@@ -65,14 +65,14 @@
     metrics: StoreMetrics,
     log: Logger,
     needs_list: bool,
-    is_lost: bool,
-    /// Watches in a row that the store refused, as it lacks the changes since.
+    is_store_lost: bool,
+    /// Consecutive watches refused because the store lacks the changes since their position.
     refused_watches: u32,
-    refused: RefusedItems,
+    reported_rejections: ReportedRejections,
 }
 
 impl<P: Platform> StoreReader<P> {
-    /// A reader that is not connected yet.
+    /// Creates a reader that is not connected yet.
     pub fn new(
         platform: P,
         settings: &CommonSettings,
@@ -90,37 +90,38 @@
             metrics,
             log,
             needs_list: true,
-            is_lost: false,
+            is_store_lost: false,
             refused_watches: 0,
-            refused: RefusedItems::default(),
+            reported_rejections: ReportedRejections::default(),
         }
     }
 
-    /// Reads for as long as the process lives; calls `news` after each answer.
-    pub async fn run(mut self, news: impl Fn()) {
+    /// Reads until the process ends; calls `on_update` after each successful read.
+    pub async fn run(mut self, on_update: impl Fn()) {
         let mut failures = 0;
         loop {
             let now = self.clock.now();
             if !self.node.borrow().should_read(now) {
                 self.set_reading(false);
                 let known = !self.node.borrow().position().is_start();
-                tokio::time::sleep(if known { IDLE_POLL } else { START_POLL }).await;
+                tokio::time::sleep(if known { IDLE_POLL_INTERVAL } else { START_POLL_INTERVAL })
+                    .await;
                 continue;
             }
             match self.read_once().await {
                 Ok(()) => {
                     failures = 0;
-                    self.regained();
+                    self.note_store_regained();
                     self.set_reading(true);
-                    news();
-                    self.space_watches(now).await;
+                    on_update();
+                    self.keep_watch_spacing(now).await;
                 }
                 Err(error) => {
-                    self.lost(&error);
+                    self.note_store_lost(&error);
                     self.set_reading(false);
                     failures += 1;
-                    let wait_ms = self.node.borrow().wait_after_failure(failures);
-                    tokio::time::sleep(Duration::from_millis(wait_ms)).await;
+                    let backoff_ms = self.node.borrow().wait_after_failure(failures);
+                    tokio::time::sleep(Duration::from_millis(backoff_ms)).await;
                 }
             }
         }
@@ -130,19 +131,19 @@
         self.node.borrow_mut().reading = reading;
     }
 
-    async fn space_watches(&self, began: Millis) {
-        let elapsed = self.clock.now().saturating_sub(began);
-        let rest = self.timing.watch_spacing_ms.saturating_sub(elapsed);
-        tokio::time::sleep(Duration::from_millis(rest)).await;
+    async fn keep_watch_spacing(&self, began_at: Millis) {
+        let elapsed = self.clock.now().saturating_sub(began_at);
+        let remaining = self.timing.watch_spacing_ms.saturating_sub(elapsed);
+        tokio::time::sleep(Duration::from_millis(remaining)).await;
     }
 
     async fn read_once(&mut self) -> Result<(), StoreError> {
         let known = self.node.borrow().position();
-        // What peers passed on is as good as a listing of one's own.
+        // No first listing is needed if peers have sent the state already.
         if known.is_start() {
             return self.list(ListingReason::Start).await;
         }
-        if self.needs_list && self.is_lost {
+        if self.needs_list && self.is_store_lost {
             return self.list(ListingReason::Outage).await;
         }
         let reason = match self.watch(known).await {
@@ -154,94 +155,102 @@
             Err(StoreError::Restored { .. }) => ListingReason::Restored,
             Err(error) => return Err(error),
         };
-        info!(self.log, "store: history gone, listing anew"; "event" => "store_history_gone",
+        info!(self.log, "store: known revision cannot be continued, listing again";
+            "event" => "store_history_gone",
             "reason" => reason.label(), "revision" => known.revision);
         self.needs_list = true;
-        self.wait_after_refusal().await;
+        self.back_off_after_refusal().await;
         self.list(reason).await
     }
 
-    /// The first refused watch is mended by a listing. Where it was not, listing again at
-    /// once would load the store with nothing gained.
-    async fn wait_after_refusal(&mut self) {
+    /// Waits before the next listing, unless this is the first refused watch in a row. One listing
+    /// normally resolves a refusal; when it did not, listing again immediately would only load
+    /// the store.
+    async fn back_off_after_refusal(&mut self) {
         self.refused_watches += 1;
         if self.refused_watches > 1 {
-            let wait_ms = self.node.borrow().wait_after_failure(self.refused_watches);
-            tokio::time::sleep(Duration::from_millis(wait_ms)).await;
+            let backoff_ms = self.node.borrow().wait_after_failure(self.refused_watches);
+            tokio::time::sleep(Duration::from_millis(backoff_ms)).await;
         }
     }
 
     async fn list(&mut self, reason: ListingReason) -> Result<(), StoreError> {
         self.metrics.listings.increment(reason.label());
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let known = self.node.borrow().position();
-        let mut listed = Listed::default();
+        let mut listing = Listing::default();
         let mut after: Option<String> = None;
-        for _ in 0..MAXIMUM_PAGES {
+        for _ in 0..MAX_PAGES {
             let path = self.platform.list_path(after.as_deref());
-            let answer = self.call(&path, ANSWER_LIMIT).await?;
-            let page = self.platform.read_list(answer.era, &answer.body);
-            let page = page.map_err(|rejected| self.unusable(rejected))?;
-            self.check_page(known, &listed, page.at)?;
+            let response = self.call(&path, RESPONSE_TIMEOUT).await?;
+            let page = self.platform.read_list(response.era, &response.body);
+            let page = page.map_err(|rejected| self.unusable_response(rejected))?;
+            self.check_page(known, &listing, page.at)?;
             self.log_rejected(&page.rejected);
-            listed.at.get_or_insert(page.at);
-            listed.configuration = listed.configuration.or(page.configuration);
-            listed.targets.extend(page.targets);
-            listed.targets.extend(page.removed);
-            listed.evacuated.extend(page.evacuated);
+            listing.at.get_or_insert(page.at);
+            listing.configuration = listing.configuration.or(page.configuration);
+            listing.targets.extend(page.targets);
+            listing.targets.extend(page.removed);
+            listing.evacuated.extend(page.evacuated);
             after = page.next_after;
             if after.is_none() {
                 break;
             }
         }
         self.needs_list = false;
-        let through = listed.at.unwrap_or_default();
-        info!(self.log, "store: listed"; "event" => "store_listed", "reason" => reason.label(),
-            "era" => through.era, "revision" => through.revision,
+        let through = listing.at.unwrap_or_default();
+        info!(self.log, "store: listing complete"; "event" => "store_listed",
+            "reason" => reason.label(), "era" => through.era, "revision" => through.revision,
             "known_era" => known.era, "known" => known.revision);
         self.apply(Update {
             after: Position::default(),
             through,
             complete: true,
             skips: true,
-            age_ms: self.clock.now().saturating_sub(asked_at),
-            configuration: listed.configuration,
-            targets: listed.targets,
-            zones: ZoneNews::Whole(EvacuatedZones::new(through, listed.evacuated)),
+            age_ms: self.clock.now().saturating_sub(requested_at),
+            configuration: listing.configuration,
+            targets: listing.targets,
+            zones: ZoneNews::Whole(EvacuatedZones::new(through, listing.evacuated)),
         });
         Ok(())
     }
 
-    /// A page proves nothing if it is older than what was known when it was asked for, or if
-    /// the store came back from a copy since the first page.
-    fn check_page(&self, known: Position, listed: &Listed, at: Position) -> Result<(), StoreError> {
+    /// Rejects a page that is older than the state known when the listing began, or that is from
+    /// another era than the first page because the store was restored from a backup in between.
+    fn check_page(
+        &self,
+        known: Position,
+        listing: &Listing,
+        at: Position,
+    ) -> Result<(), StoreError> {
         let peer = self.client.address();
         if at < known {
-            return Err(StoreError::Behind { peer, behind: AnswerBehind { at, after: known } });
+            return Err(StoreError::Stale { peer, stale: StaleResponse { at, known } });
         }
-        if listed.at.is_some_and(|first| first.era != at.era) {
+        if listing.at.is_some_and(|first| first.era != at.era) {
             return Err(StoreError::Restored { peer, era: at.era });
         }
         Ok(())
     }
 
     async fn watch(&mut self, after: Position) -> Result<(), StoreError> {
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let wait_ms = self.timing.watch_wait_ms;
         let path = self.platform.watch_path(after.revision, wait_ms);
-        let limit = Duration::from_millis(wait_ms) + WATCH_SLACK;
-        let answer = self.call(&path, limit).await?;
+        let timeout = Duration::from_millis(wait_ms) + WATCH_TIMEOUT_MARGIN;
+        let response = self.call(&path, timeout).await?;
         let peer = self.client.address();
-        // The revision may exist in both eras: an answer can look right and lack changes.
-        if answer.era > after.era {
-            return Err(StoreError::Restored { peer, era: answer.era });
+        // The same revision may exist in both eras, so a response of a newer era can look valid and
+        // yet lack changes.
+        if response.era > after.era {
+            return Err(StoreError::Restored { peer, era: response.era });
         }
-        let page = self.platform.read_watch(answer.era, &answer.body);
-        let page = page.map_err(|rejected| self.unusable(rejected))?;
+        let page = self.platform.read_watch(response.era, &response.body);
+        let page = page.map_err(|rejected| self.unusable_response(rejected))?;
         self.log_rejected(&page.rejected);
-        let elapsed_ms = self.clock.now().saturating_sub(asked_at);
+        let elapsed_ms = self.clock.now().saturating_sub(requested_at);
         let update = page.into_update(after, wait_ms, elapsed_ms);
-        let update = update.map_err(|behind| StoreError::Behind { peer, behind })?;
+        let update = update.map_err(|stale| StoreError::Stale { peer, stale })?;
         self.apply(update);
         Ok(())
     }
@@ -251,60 +260,64 @@
         self.node.borrow_mut().apply_from_store(update, now);
     }
 
-    async fn call(&mut self, path: &str, limit: Duration) -> Result<EraAnswer, StoreError> {
+    async fn call(&mut self, path: &str, timeout: Duration) -> Result<EraResponse, StoreError> {
         self.metrics.calls.inc();
-        let began = self.clock.now();
-        let result = self.client.get(path, limit).await;
-        self.metrics.call_seconds.observe((self.clock.now() - began) as f64 / 1_000.0);
-        let StoreAnswer { headers, body } = result?;
-        let era = self.platform.store_era(&headers).map_err(|rejected| self.unusable(rejected))?;
-        Ok(EraAnswer { era, body })
+        let began_at = self.clock.now();
+        let result = self.client.get(path, timeout).await;
+        self.metrics.call_seconds.observe((self.clock.now() - began_at) as f64 / 1_000.0);
+        let StoreResponse { headers, body } = result?;
+        let era = self
+            .platform
+            .store_era(&headers)
+            .map_err(|rejected| self.unusable_response(rejected))?;
+        Ok(EraResponse { era, body })
     }
 
-    fn unusable(&self, rejected: RejectedItem) -> StoreError {
+    fn unusable_response(&self, rejected: RejectedItem) -> StoreError {
         StoreError::Unusable { peer: self.client.address(), rejected: Box::new(rejected) }
     }
 
     fn log_rejected(&mut self, rejected: &[RejectedItem]) {
         for item in rejected {
-            if !self.refused.is_news(item) {
+            if !self.reported_rejections.record(item) {
                 continue;
             }
             self.metrics.rejected_items.increment(item.reason.label());
-            warn!(self.log, "store: item refused"; "event" => "item_refused", "key" => &item.key,
-                "reason" => item.reason.label(),
+            warn!(self.log, "store: item rejected, not applied"; "event" => "item_refused",
+                "key" => &item.key, "reason" => item.reason.label(),
                 "field" => &item.field, "found" => &item.found, "expected" => &item.expected);
         }
     }
 
-    fn lost(&mut self, error: &StoreError) {
+    fn note_store_lost(&mut self, error: &StoreError) {
         self.metrics.failures.inc();
-        if !self.is_lost {
-            self.is_lost = true;
+        if !self.is_store_lost {
+            self.is_store_lost = true;
             let age_ms = self.node.borrow().age(self.clock.now());
-            warn!(self.log, "store: lost"; "event" => "store_lost", "reason" => error.to_string(),
-                "age_ms" => age_ms);
+            warn!(self.log, "store: reads fail"; "event" => "store_lost",
+                "reason" => error.to_string(), "age_ms" => age_ms);
         }
     }
 
-    fn regained(&mut self) {
-        if self.is_lost {
-            self.is_lost = false;
+    fn note_store_regained(&mut self) {
+        if self.is_store_lost {
+            self.is_store_lost = false;
             let position = self.node.borrow().position();
-            info!(self.log, "store: regained"; "event" => "store_regained",
+            info!(self.log, "store: reads succeed again"; "event" => "store_regained",
                 "era" => position.era, "revision" => position.revision);
         }
     }
 }
 
-/// A successful answer, and which life of the store made it.
-struct EraAnswer {
+/// The body of a successful response, and the era of the store that sent it.
+struct EraResponse {
     era: u64,
     body: Bytes,
 }
 
+/// The pages of one listing, combined.
 #[derive(Default)]
-struct Listed {
+struct Listing {
     at: Option<Position>,
     configuration: Option<VersionedConfiguration>,
     targets: Vec<VersionedTarget>,
--- a/crates/relay/src/store_client.rs
+++ b/crates/relay/src/store_client.rs
@@ -1,8 +1,8 @@
-//! Calls to the platform's store over one kept connection.
+//! HTTP client of the platform's store, with one persistent connection.
 //!
-//! A connection may fall silent for good while new ones work. So each call has a time
-//! limit, a connection that missed one is closed, and one that nobody used for a while is
-//! not trusted with the next call.
+//! A connection may become unresponsive for good while new connections work. Therefore each call
+//! has a timeout, a connection is closed after a call timed out, and a connection that was idle
+//! for a while is replaced before the next call.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,87 +15,87 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use crate::platform::{AnswerBehind, RejectedItem};
+use crate::platform::{RejectedItem, StaleResponse};
 
-/// Largest answer accepted, in bytes.
-const MAXIMUM_ANSWER: usize = 4 << 20;
-/// Longest wait for a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(600);
-/// A connection that rested for longer is replaced before the next call: connecting takes
-/// some 10 ms, finding out that it is silent the call's whole limit.
-const IDLE_LIMIT: Duration = Duration::from_secs(2);
+/// Largest response body accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+/// A connection that was idle for longer is replaced before the next call. Connecting takes some
+/// 10 ms, while detecting an unresponsive connection takes the whole timeout of a call.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call failed; names the step and the peer.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StoreError {
-    /// A step of the exchange failed.
+    /// A step of the call failed.
     #[error("{step} store {peer}: {reason}")]
     Step {
-        /// What was done.
+        /// The step, as a verb phrase that precedes "store".
         step: &'static str,
         /// The store's address.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The underlying error.
         reason: String,
     },
-    /// The store refused the call.
-    #[error("store {peer}: status {status}")]
+    /// The store responded with an unexpected status.
+    #[error("store {peer}: unexpected HTTP status {status}")]
     Status {
         /// The store's address.
         peer: SocketAddr,
-        /// The status code.
+        /// The HTTP status code.
         status: u16,
     },
-    /// The store has forgotten what changed after the revision asked for.
-    #[error("store {peer}: history before the revision is gone")]
+    /// The store no longer has the changes after the requested revision.
+    #[error("store {peer}: changes after the requested revision are gone")]
     HistoryGone {
         /// The store's address.
         peer: SocketAddr,
     },
-    /// The store came back from a copy: its revisions are others than those known.
-    #[error("store {peer}: came back from a copy, now in era {era}")]
+    /// The store was restored from a backup, so the known revisions do not apply.
+    #[error("store {peer}: restored from a backup, now in era {era}")]
     Restored {
         /// The store's address.
         peer: SocketAddr,
-        /// The era that it states.
+        /// The store's new era.
         era: u64,
     },
-    /// The answer is older than what is known.
-    #[error("store {peer}: {behind}")]
-    Behind {
+    /// The response reflects an older state than the one already known.
+    #[error("store {peer}: {stale}")]
+    Stale {
         /// The store's address.
         peer: SocketAddr,
-        /// How far.
-        behind: AnswerBehind,
+        /// The position of the response and the known one.
+        stale: StaleResponse,
     },
-    /// The answer cannot be used.
+    /// The response cannot be used.
     #[error("store {peer}: {rejected}")]
     Unusable {
         /// The store's address.
         peer: SocketAddr,
-        /// Why.
+        /// The invalid field.
         rejected: Box<RejectedItem>,
     },
 }
 
-/// A successful answer.
-pub(crate) struct StoreAnswer {
-    /// Its headers.
+/// A successful response.
+pub(crate) struct StoreResponse {
+    /// The response headers.
     pub(crate) headers: HeaderMap,
-    /// Its body.
+    /// The response body.
     pub(crate) body: Bytes,
 }
 
-/// A connection; closed when dropped, also while an exchange hangs.
+/// A connection; closed when dropped, even if a call is pending.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     task: JoinHandle<()>,
-    used_at: Instant,
+    last_used_at: Instant,
 }
 
 impl Connection {
     fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && self.used_at.elapsed() < IDLE_LIMIT
+        !self.sender.is_closed() && self.last_used_at.elapsed() < IDLE_TIMEOUT
     }
 }
 
@@ -105,14 +105,14 @@
     }
 }
 
-/// The store's one client in this process.
+/// Client of the store; makes one call at a time.
 pub(crate) struct StoreClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
 impl StoreClient {
-    /// A client that is not connected yet.
+    /// Creates a client that is not connected yet.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self { address, connection: None }
     }
@@ -122,21 +122,22 @@
         self.address
     }
 
-    /// Makes one call. After a failure the connection is closed: it may still bring an old
-    /// answer, or none.
+    /// Sends one GET request. After a failed call the connection is closed, because it may be
+    /// unresponsive or deliver the late response of the failed call.
     ///
     /// # Errors
-    /// Names the step and the store, also when `limit` passed without an answer.
+    /// When a step of the call fails or `timeout` expires, and when the store responds with
+    /// another status than 200.
     pub(crate) async fn get(
         &mut self,
         path: &str,
-        limit: Duration,
-    ) -> Result<StoreAnswer, StoreError> {
-        let result = tokio::time::timeout(limit, self.exchange(path)).await;
-        result.unwrap_or_else(|_| Err(self.step("wait for", "no answer in time")))
+        timeout: Duration,
+    ) -> Result<StoreResponse, StoreError> {
+        let result = tokio::time::timeout(timeout, self.send_request(path)).await;
+        result.unwrap_or_else(|_| Err(self.step_error("wait for", "request timed out")))
     }
 
-    async fn exchange(&mut self, path: &str) -> Result<StoreAnswer, StoreError> {
+    async fn send_request(&mut self, path: &str) -> Result<StoreResponse, StoreError> {
         let mut connection = match self.connection.take().filter(Connection::is_usable) {
             Some(connection) => connection,
             None => self.connect().await?,
@@ -144,41 +145,41 @@
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|error| self.step("ask", error))?;
+            .map_err(|error| self.step_error("send request to", error))?;
         let response = connection.sender.send_request(request).await;
-        let response = response.map_err(|error| self.step("ask", error))?;
+        let response = response.map_err(|error| self.step_error("send request to", error))?;
         let status = response.status();
         let headers = response.headers().clone();
-        let body = Limited::new(response.into_body(), MAXIMUM_ANSWER).collect().await;
-        let body = body.map_err(|error| self.step("read from", error))?.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
+        let body = body.map_err(|error| self.step_error("read response of", error))?.to_bytes();
         let result = match status {
-            StatusCode::OK => Ok(StoreAnswer { headers, body }),
+            StatusCode::OK => Ok(StoreResponse { headers, body }),
             StatusCode::GONE => Err(StoreError::HistoryGone { peer: self.address }),
             status => {
                 return Err(StoreError::Status { peer: self.address, status: status.as_u16() });
             }
         };
-        connection.used_at = Instant::now();
+        connection.last_used_at = Instant::now();
         self.connection = Some(connection);
         result
     }
 
     async fn connect(&self) -> Result<Connection, StoreError> {
-        let stream = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(self.address)).await;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = stream
-            .map_err(|_| self.step("connect to", "no answer in time"))?
-            .map_err(|error| self.step("connect to", error))?;
+            .map_err(|_| self.step_error("connect to", "connection attempt timed out"))?
+            .map_err(|error| self.step_error("connect to", error))?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| self.step("open", error))?;
+            .map_err(|error| self.step_error("open HTTP connection to", error))?;
         let task = tokio::task::spawn_local(async move {
-            // The sender reports what went wrong.
+            // The sender returns the error of a failed connection.
             let _ = connection.await;
         });
-        Ok(Connection { sender, task, used_at: Instant::now() })
+        Ok(Connection { sender, task, last_used_at: Instant::now() })
     }
 
-    fn step(&self, step: &'static str, reason: impl ToString) -> StoreError {
+    fn step_error(&self, step: &'static str, reason: impl ToString) -> StoreError {
         StoreError::Step { step, peer: self.address, reason: reason.to_string() }
     }
 }
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Settings of daemons that run nowhere.
+//! Settings of simulated daemons; nothing listens on their addresses.
 
 use std::net::Ipv4Addr;
 
 use weirhinge_relay::{CommonSettings, RawSettings};
 
-/// Settings of a daemon at this address that knows these seeds.
+/// Returns the settings of a daemon at `address` with these seeds.
 pub fn settings(address: Ipv4Addr, seeds: impl Iterator<Item = Ipv4Addr>) -> CommonSettings {
     let text = |port: u16| Some(format!("{address}:{port}"));
     let raw = RawSettings {
