--- a/crates/relay/src/base.rs
+++ b/crates/relay/src/base.rs
@@ -1,4 +1,4 @@
-//! What both daemons set up in the same way.
+//! The setup that both daemons share.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,25 +15,26 @@
 use crate::process::ProcessLog;
 use crate::settings::CommonSettings;
 
-/// A daemon's clock, log, knowledge and link to its peers.
+/// The clock, log, fleet state, peer link and metrics of a daemon.
 pub struct Base {
     /// The daemon's clock.
     pub clock: Clock,
-    /// The logger, which names the daemon in each line.
+    /// The logger; adds the daemon's name to each line.
     pub log: Logger,
-    /// What the daemon knows of the fleet.
+    /// The daemon's state of the fleet.
     pub node: Rc<RefCell<FleetNode>>,
-    /// The way to its peers.
+    /// The link to the daemon's peers.
     pub link: Rc<PeerLink>,
-    /// All metrics, to be served.
+    /// All declared metrics.
     pub metrics: Arc<Metrics>,
 }
 
 impl Base {
-    /// Sets up a daemon of this role; `declare` declares the metrics of the role.
+    /// Sets up a daemon of this role. `declare` declares the metrics of the role and returns their
+    /// handles.
     ///
     /// # Errors
-    /// When the address for peers cannot be bound.
+    /// When the peer address cannot be bound.
     pub async fn start<T>(
         settings: &CommonSettings,
         role: PeerRole,
@@ -45,7 +46,11 @@
         let mut metrics = Metrics::new();
         let role_metrics = declare(&mut metrics);
         let fleet_metrics = FleetMetrics::declare(&mut metrics);
-        metrics.adopt_counter("log_lines_lost", "Log lines without room", process_log.lost);
+        metrics.adopt_counter(
+            "log_lines_lost",
+            "Log lines dropped because the output was not read fast enough",
+            process_log.lost,
+        );
         let node = Rc::new(RefCell::new(FleetNode::new(settings, role, log.clone())));
         let link =
             PeerLink::start(settings, Rc::clone(&node), clock, fleet_metrics, log.clone()).await?;
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -11,7 +11,7 @@
 mod clock;
 mod events;
 mod fleet_node;
-mod http;
+mod http_server;
 mod link;
 mod metrics;
 mod peer_stream;
--- a/crates/relay/src/peer_stream.rs
+++ b/crates/relay/src/peer_stream.rs
@@ -1,4 +1,5 @@
-//! Fetches a peer's knowledge over TCP: a length-prefixed request, one answer.
+//! Fetches a peer's fleet state over TCP: each connection carries one length-prefixed request and
+//! one length-prefixed response.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -7,16 +8,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use weirhinge_fleet::{FetchRequest, Update, decode, encode};
 
-/// Longest exchange.
-const TIMEOUT: Duration = Duration::from_millis(700);
-/// Longest frame accepted, in bytes.
-const MAXIMUM_FRAME: u32 = 8 << 20;
-/// Longest request accepted, in bytes.
-const MAXIMUM_REQUEST: u32 = 64;
-/// Wait after the listener could not accept, such as for want of descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Timeout of a fetch, from connecting to the complete response.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
+/// Largest response accepted, in bytes.
+const MAX_RESPONSE_BYTES: u32 = 8 << 20;
+/// Largest request accepted, in bytes.
+const MAX_REQUEST_BYTES: u32 = 64;
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a fetch failed; names the step and the peer.
+/// Why a fetch failed: the step that failed, the peer and the underlying error.
 #[derive(Debug, thiserror::Error)]
 #[error("{step} peer {peer}: {reason}")]
 pub struct FetchError {
@@ -25,10 +26,10 @@
     reason: String,
 }
 
-/// Fetches what a peer knows.
+/// Fetches the fleet state of a peer.
 ///
 /// # Errors
-/// Names the step and the peer.
+/// When a step of the fetch fails or the fetch times out.
 pub async fn fetch(peer: SocketAddrV4, request: FetchRequest) -> Result<Update, FetchError> {
     let failed = |step, reason: String| FetchError { step, peer, reason };
     let exchange = async {
@@ -38,18 +39,20 @@
         write_frame(&mut stream, &request)
             .await
             .map_err(|error| failed("ask", error.to_string()))?;
-        let body = read_frame(&mut stream, MAXIMUM_FRAME)
+        let body = read_frame(&mut stream, MAX_RESPONSE_BYTES)
             .await
-            .map_err(|error| failed("read from", error.to_string()))?;
-        decode(&body).map_err(|error| failed("read from", error.to_string()))
+            .map_err(|error| failed("read response of", error.to_string()))?;
+        decode(&body).map_err(|error| failed("decode response of", error.to_string()))
     };
-    match tokio::time::timeout(TIMEOUT, exchange).await {
+    match tokio::time::timeout(FETCH_TIMEOUT, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(failed("wait for", format!("no answer in {} ms", TIMEOUT.as_millis()))),
+        Err(_) => {
+            Err(failed("wait for", format!("no response within {} ms", FETCH_TIMEOUT.as_millis())))
+        }
     }
 }
 
-/// Answers fetches for as long as the process lives.
+/// Answers fetches of peers until the process ends; `answer` returns the response to a request.
 ///
 /// # Errors
 /// When the address cannot be bound.
@@ -62,24 +65,24 @@
     tokio::task::spawn_local(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_RETRY).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let answer = answer.clone();
             tokio::task::spawn_local(async move {
-                // The asker notices a failed exchange and asks elsewhere.
-                let _ = tokio::time::timeout(TIMEOUT, answer_one(stream, answer)).await;
+                // The requester detects a failed fetch and queries another peer.
+                let _ = tokio::time::timeout(FETCH_TIMEOUT, answer_fetch(stream, answer)).await;
             });
         }
     });
     Ok(())
 }
 
-async fn answer_one(
+async fn answer_fetch(
     mut stream: TcpStream,
     answer: impl Fn(FetchRequest) -> Update,
 ) -> std::io::Result<()> {
-    let body = read_frame(&mut stream, MAXIMUM_REQUEST).await?;
+    let body = read_frame(&mut stream, MAX_REQUEST_BYTES).await?;
     let request = decode(&body).map_err(std::io::Error::other)?;
     write_frame(&mut stream, &answer(request)).await
 }
@@ -95,10 +98,12 @@
     stream.write_all(&body).await
 }
 
-async fn read_frame(stream: &mut TcpStream, maximum: u32) -> std::io::Result<Vec<u8>> {
+async fn read_frame(stream: &mut TcpStream, max_bytes: u32) -> std::io::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    if length > maximum {
-        return Err(std::io::Error::other(format!("frame of {length} bytes, at most {maximum}")));
+    if length > max_bytes {
+        return Err(std::io::Error::other(format!(
+            "frame of {length} bytes exceeds the limit of {max_bytes}"
+        )));
     }
     let mut body = Vec::new();
     stream.take(u64::from(length)).read_to_end(&mut body).await?;
--- a/crates/relay/src/process.rs
+++ b/crates/relay/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon's runtime and turns signals into notices.
+//! Runs a daemon on a single-threaded runtime and forwards process signals to its tasks.
 
 use eyre::WrapErr;
 use slog::Logger;
@@ -7,36 +7,36 @@
 use tokio::task::LocalSet;
 use weirhinge_observe::Counter;
 
-/// Where a daemon logs to.
+/// A daemon's logger and the count of its lost lines.
 #[derive(Clone, Debug)]
 pub struct ProcessLog {
     /// The logger.
     pub log: Logger,
-    /// Lines that found no room.
+    /// Lines lost because the output was not read fast enough.
     pub lost: Counter,
 }
 
-/// Signals of one process, as values that every task can wait for.
+/// The signals that the process received, as values that every task can wait for.
 #[derive(Clone, Debug)]
 pub struct Signals {
-    /// Becomes true at SIGTERM or SIGINT.
+    /// Becomes true on SIGTERM or SIGINT.
     pub stop: watch::Receiver<bool>,
-    /// Counts SIGHUPs.
+    /// Number of SIGHUPs received.
     pub reload: watch::Receiver<u64>,
 }
 
 impl Signals {
-    /// Completes when the process is told to stop.
+    /// Completes once the process received a signal to stop.
     pub async fn stopped(&mut self) {
-        // The sender lives as long as the process.
+        // Cannot fail: the sender is dropped only when the runtime ends.
         let _ = self.stop.wait_for(|stop| *stop).await;
     }
 }
 
-/// Runs a daemon on one thread until it ends.
+/// Runs a daemon on the current thread until it completes.
 ///
 /// # Errors
-/// When the runtime cannot start or the daemon fails.
+/// When the runtime cannot start, a signal handler cannot be installed or the daemon fails.
 pub fn run_process<F, Fut>(daemon: F) -> eyre::Result<()>
 where
     F: FnOnce(Signals) -> Fut,
@@ -56,9 +56,9 @@
 }
 
 fn watch_signals() -> eyre::Result<Signals> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("listen for SIGTERM")?;
-    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("listen for SIGINT")?;
-    let mut hangup = signal(SignalKind::hangup()).wrap_err("listen for SIGHUP")?;
+    let mut terminate = signal(SignalKind::terminate()).wrap_err("install the SIGTERM handler")?;
+    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("install the SIGINT handler")?;
+    let mut hangup = signal(SignalKind::hangup()).wrap_err("install the SIGHUP handler")?;
     let (stop_sender, stop) = watch::channel(false);
     let (reload_sender, reload) = watch::channel(0);
     tokio::task::spawn_local(async move {
--- a/crates/relay/src/reload.rs
+++ b/crates/relay/src/reload.rs
@@ -1,8 +1,8 @@
-//! Looks at the settings file again after SIGHUP, and now and then without one.
+//! Reloads the settings file on SIGHUP, and when its modification time changes.
 //!
-//! Seeds are taken at once. All other settings are addresses and identities that a
-//! process has for life, so that a change of them takes effect at the next start. A
-//! file that cannot be used changes nothing.
+//! New seeds take effect immediately. All other settings are addresses and identities that stay
+//! the same as long as the process runs, so changes to them take effect at the next start. An
+//! invalid file changes nothing.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,14 +15,14 @@
 use crate::process::Signals;
 use crate::settings::CommonSettings;
 
-/// How often the file's time of change is looked at.
-const POLL: Duration = Duration::from_secs(5);
+/// How often the file's modification time is checked.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a settings file says after a change.
+/// The settings read from a changed file.
 pub struct Reloaded {
-    /// The settings that both roles have.
+    /// The settings of both roles.
     pub common: CommonSettings,
-    /// Whether those of the role alone are as before.
+    /// Whether the settings that only this role has are unchanged.
     pub role_unchanged: bool,
 }
 
@@ -30,31 +30,32 @@
 pub struct SettingsWatch<R> {
     /// The file's path.
     pub file: String,
-    /// The settings in force.
+    /// The settings in effect.
     pub current: CommonSettings,
-    /// Reads and checks the file.
+    /// Reads and validates the file.
     pub read: R,
-    /// Takes new seeds.
+    /// The fleet state that new seeds are passed to.
     pub node: Rc<RefCell<FleetNode>>,
-    /// Where outcomes are logged.
+    /// The log for the outcome of each reload.
     pub log: Logger,
 }
 
 impl<R: Fn(&str) -> Result<Reloaded, ConfigError>> SettingsWatch<R> {
-    /// Watches for as long as the process lives.
+    /// Watches the file until the process ends.
     pub async fn run(mut self, mut signals: Signals) {
-        let mut changed_at = self.changed_at();
+        let mut modified_at = self.modified_at();
         loop {
-            let told = tokio::time::timeout(POLL, signals.reload.changed()).await.is_ok();
-            let now_changed_at = self.changed_at();
-            if told || now_changed_at != changed_at {
-                changed_at = now_changed_at;
+            let signalled =
+                tokio::time::timeout(POLL_INTERVAL, signals.reload.changed()).await.is_ok();
+            let now_modified_at = self.modified_at();
+            if signalled || now_modified_at != modified_at {
+                modified_at = now_modified_at;
                 self.reload();
             }
         }
     }
 
-    fn changed_at(&self) -> Option<SystemTime> {
+    fn modified_at(&self) -> Option<SystemTime> {
         std::fs::metadata(&self.file).and_then(|metadata| metadata.modified()).ok()
     }
 
@@ -62,24 +63,24 @@
         let reloaded = match (self.read)(&self.file) {
             Ok(reloaded) => reloaded,
             Err(error) => {
-                warn!(self.log, "settings: refused"; "event" => "reload", "outcome" => "refused",
-                    "reason" => error.to_string());
+                warn!(self.log, "settings: reload failed, settings stay unchanged";
+                    "event" => "reload", "outcome" => "refused", "reason" => error.to_string());
                 return;
             }
         };
         let seeds = reloaded.common.seeds.clone();
-        let takes_seeds = seeds != self.current.seeds;
-        if takes_seeds {
+        let has_new_seeds = seeds != self.current.seeds;
+        if has_new_seeds {
             self.node.borrow_mut().set_seeds(&seeds);
             self.current.seeds = seeds;
         }
-        let is_whole = reloaded.role_unchanged && reloaded.common == self.current;
-        let outcome = match (is_whole, takes_seeds) {
+        let is_fully_applied = reloaded.role_unchanged && reloaded.common == self.current;
+        let outcome = match (is_fully_applied, has_new_seeds) {
             (true, true) => "applied",
             (true, false) => "unchanged",
             (false, _) => "at_next_start",
         };
-        info!(self.log, "settings: read again"; "event" => "reload", "outcome" => outcome,
+        info!(self.log, "settings: reloaded"; "event" => "reload", "outcome" => outcome,
             "seeds" => self.current.seeds.len());
     }
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay's daemons: a TOML file.
+//! Settings of the relay daemons, read from a TOML file.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -8,20 +8,20 @@
 use weirhinge_fleet::{Bounds, Timing};
 use weirhinge_steering::Locality;
 
-/// Longest bound that settings may state, in milliseconds.
-pub const LONGEST_BOUND_MS: u64 = 600_000;
-/// Most processors, and most of one processor's time, that settings may state.
-const MOST_PROCESSORS: f64 = 1_024.0;
-/// Fastest link that settings may state, in megabits a second.
-const FASTEST_LINK_MBPS: f64 = 1_000_000.0;
-/// Most times that settings may let a cold target get what it bears.
-const MOST_OVERSHOOT: f64 = 1_000.0;
-/// Most new flows beyond that.
-const MOST_SLACK: f64 = 1_000_000.0;
-/// Longest planned stop when the settings state none, in milliseconds.
+/// Maximum of all time bounds in the settings, in milliseconds.
+pub const MAX_BOUND_MS: u64 = 600_000;
+/// Maximum of [`RawSettings::processors`] and of [`RawSettings::processor_share`].
+const MAX_PROCESSORS: f64 = 1_024.0;
+/// Maximum of [`RawSettings::link_mbps`], in megabits per second.
+const MAX_LINK_MBPS: f64 = 1_000_000.0;
+/// Maximum of [`RawSettings::cold_overshoot`].
+const MAX_COLD_OVERSHOOT: f64 = 1_000.0;
+/// Maximum of [`RawSettings::cold_slack`].
+const MAX_COLD_SLACK: f64 = 1_000_000.0;
+/// Time limit of a planned stop if the settings contain none, in milliseconds.
 const DEFAULT_STOP_LIMIT_MS: u64 = 5_000;
 
-/// The fields of a settings file. Unknown fields are refused.
+/// The unchecked fields of a settings file. Unknown fields are rejected.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
@@ -31,8 +31,8 @@
     pub zone: Option<String>,
     /// Region that the process runs in.
     pub region: Option<String>,
-    /// The region of each zone. Targets in other regions are used only where those
-    /// in this one are busy; a zone that is not named counts as near.
+    /// The region of each zone. Targets in other regions are used only while those in this region
+    /// are busy. A zone that is not listed counts as near.
     pub regions: Option<HashMap<String, String>>,
     /// See [`CommonSettings::address`].
     pub address: Option<String>,
@@ -48,25 +48,25 @@
     pub seeds: Option<Vec<String>>,
     /// See [`CommonSettings::store`].
     pub store: Option<String>,
-    /// See [`CommonSettings::stop_limit_ms`], in seconds.
+    /// See [`CommonSettings::stop_limit_ms`]; in seconds, at most one hour.
     pub stop_limit_s: Option<f64>,
-    /// See [`Bounds::change_ms`]; at most [`LONGEST_BOUND_MS`].
+    /// See [`Bounds::change_ms`]; at most [`MAX_BOUND_MS`].
     pub change_bound_ms: Option<u64>,
-    /// See [`Bounds::drain_ms`]; at most [`LONGEST_BOUND_MS`].
+    /// See [`Bounds::drain_ms`]; at most [`MAX_BOUND_MS`].
     pub drain_bound_ms: Option<u64>,
-    /// See [`Bounds::evacuation_ms`]; at most [`LONGEST_BOUND_MS`].
+    /// See [`Bounds::evacuation_ms`]; at most [`MAX_BOUND_MS`].
     pub evacuation_bound_ms: Option<u64>,
-    /// How many times what a cold target bears a second may bring; at least 1.
+    /// See [`AgentSettings::cold_overshoot`]; 1 if not set, at least 1.
     pub cold_overshoot: Option<f64>,
-    /// New flows that a second may bring to a cold target beyond that.
+    /// See [`AgentSettings::cold_slack`]; 0 if not set.
     pub cold_slack: Option<f64>,
-    /// See [`Bounds::renewal_ms`]; at most [`LONGEST_BOUND_MS`].
+    /// See [`Bounds::renewal_ms`]; at most [`MAX_BOUND_MS`].
     pub renewal_ms: Option<u64>,
-    /// Part of one processor's time that the process may use, above 0.
+    /// Share of one processor's time that the process may use, above 0.
     pub processor_share: Option<f64>,
-    /// How many times as much it gets; 1 if not given.
+    /// Factor by which [`Self::processor_share`] is multiplied, above 0; 1 if not given.
     pub processors: Option<f64>,
-    /// Rate of the machine's link in megabits a second, above 0.
+    /// Rate of the machine's link in megabits per second, above 0.
     pub link_mbps: Option<f64>,
     /// See [`AgentSettings::target`].
     pub target: Option<String>,
@@ -76,155 +76,157 @@
     pub service: Option<String>,
 }
 
-/// Settings that both roles have.
+/// Settings of both roles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommonSettings {
-    /// Name shown in logs.
+    /// Name of the daemon in logs.
     pub name: String,
     /// Zone that the process runs in.
     pub zone: String,
-    /// Which zones are near.
+    /// The daemon's zone and region, and the region of each zone.
     pub locality: Locality,
-    /// Address of the machine.
+    /// IP address of the machine.
     pub address: Ipv4Addr,
-    /// UDP address of clients' packets. Clients listen on the same port.
+    /// UDP address for packets from clients. Clients listen on the same port.
     pub packets: SocketAddrV4,
-    /// TCP address at which readiness is asked for.
+    /// TCP address of the readiness endpoint.
     pub readiness: SocketAddrV4,
-    /// TCP address of metrics; none if they are not served.
+    /// TCP address of the metrics endpoint; `None` if metrics are not served.
     pub metrics: Option<SocketAddrV4>,
-    /// UDP and TCP port that daemons talk to each other on, alike on all machines.
+    /// UDP and TCP port for traffic between daemons, the same on all machines.
     pub peer_port: u16,
-    /// Machines where balancers may be found; some may be down or gone.
+    /// Machines that may run balancers; some may be down or removed.
     pub seeds: Vec<Ipv4Addr>,
     /// TCP address of the platform's store.
     pub store: SocketAddr,
-    /// Milliseconds that a planned stop may take.
+    /// Time limit of a planned stop, in milliseconds.
     pub stop_limit_ms: u64,
-    /// Waits that keep the deployment's bounds.
+    /// Intervals and time limits derived from the deployment's bounds.
     pub timing: Timing,
-    /// Processor time that the process may use, in thousandths of a processor; none
-    /// if not known. Balancers of a zone are compared by it.
+    /// Processor time that the process may use, in thousandths of a processor; `None` if
+    /// unknown. Balancers of a zone are compared by it.
     pub capacity: Option<u32>,
-    /// Rate of the machine's link in kilobits a second; none if not known. Searches for
-    /// lost flows fill no more than a part of it.
+    /// Rate of the machine's link in kilobits per second; `None` if unknown. Limits the traffic
+    /// of searches for lost flows to a part of it.
     pub link_kbps: Option<u32>,
 }
 
 /// Settings of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancerSettings {
-    /// What both roles have.
+    /// The settings of both roles.
     pub common: CommonSettings,
 }
 
 /// Settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentSettings {
-    /// What both roles have.
+    /// The settings of both roles.
     pub common: CommonSettings,
-    /// UDP address at which the target takes packets.
+    /// UDP address on which the target receives packets.
     pub target: SocketAddrV4,
     /// UDP address to which the target sends its packets.
     pub target_output: SocketAddrV4,
     /// Name of the target's service.
     pub service: String,
-    /// How many times what a cold target bears a second may bring.
+    /// Factor by which the service's limit of new flows per second to a cold target is multiplied.
     pub cold_overshoot: f64,
-    /// New flows that a second may bring to a cold target beyond that.
+    /// New flows per second that are added to the multiplied limit.
     pub cold_slack: f64,
 }
 
 impl RawSettings {
-    /// Reads a settings file.
+    /// Reads and parses a settings file.
     ///
     /// # Errors
-    /// Names the file, the line and the field.
+    /// When the file cannot be read or parsed; the error names the file, the line and the field.
     pub fn from_file(path: &str) -> Result<Self, ConfigError> {
         parse::from_toml(path, &parse::read_file(path)?)
     }
 
-    /// Checks the settings of a balancer.
+    /// Validates the settings of a balancer.
     ///
     /// # Errors
-    /// Names the file, the field, what was found and what was expected.
+    /// When a field is missing or invalid; the error names the file, the field, the value found
+    /// and the values expected.
     pub fn into_balancer(self, file: &str) -> Result<BalancerSettings, ConfigError> {
-        Ok(BalancerSettings { common: self.common(file)? })
+        Ok(BalancerSettings { common: self.parse_common(file)? })
     }
 
-    /// Checks the settings of an agent.
+    /// Validates the settings of an agent.
     ///
     /// # Errors
-    /// Names the file, the field, what was found and what was expected.
+    /// When a field is missing or invalid; the error names the file, the field, the value found
+    /// and the values expected.
     pub fn into_agent(self, file: &str) -> Result<AgentSettings, ConfigError> {
         Ok(AgentSettings {
-            common: self.common(file)?,
-            target: endpoint(file, "target", self.target.as_deref())?,
-            target_output: endpoint(file, "target_output", self.target_output.as_deref())?,
-            service: text(file, "service", self.service.as_deref())?,
-            cold_overshoot: number(
+            common: self.parse_common(file)?,
+            target: parse_endpoint(file, "target", self.target.as_deref())?,
+            target_output: parse_endpoint(file, "target_output", self.target_output.as_deref())?,
+            service: parse_text(file, "service", self.service.as_deref())?,
+            cold_overshoot: parse_number(
                 file,
                 "cold_overshoot",
                 self.cold_overshoot,
                 1.0,
-                MOST_OVERSHOOT,
+                MAX_COLD_OVERSHOOT,
             )?,
-            cold_slack: number(file, "cold_slack", self.cold_slack, 0.0, MOST_SLACK)?,
+            cold_slack: parse_number(file, "cold_slack", self.cold_slack, 0.0, MAX_COLD_SLACK)?,
         })
     }
 
-    fn common(&self, file: &str) -> Result<CommonSettings, ConfigError> {
-        let address = text(file, "address", self.address.as_deref())?;
+    fn parse_common(&self, file: &str) -> Result<CommonSettings, ConfigError> {
+        let address = parse_text(file, "address", self.address.as_deref())?;
         let address = address
             .parse()
             .map_err(|_| ConfigError::field(file, "address", &address, "an IPv4 address"))?;
         let metrics = match self.metrics.as_deref() {
             None | Some("") => None,
-            metrics => Some(endpoint(file, "metrics", metrics)?),
+            metrics => Some(parse_endpoint(file, "metrics", metrics)?),
         };
         Ok(CommonSettings {
-            name: text(file, "name", self.name.as_deref())?,
-            zone: text(file, "zone", self.zone.as_deref())?,
-            locality: self.checked_locality(file)?,
+            name: parse_text(file, "name", self.name.as_deref())?,
+            zone: parse_text(file, "zone", self.zone.as_deref())?,
+            locality: self.parse_locality(file)?,
             address,
-            packets: endpoint(file, "packets", self.packets.as_deref())?,
-            readiness: endpoint(file, "readiness", self.readiness.as_deref())?,
+            packets: parse_endpoint(file, "packets", self.packets.as_deref())?,
+            readiness: parse_endpoint(file, "readiness", self.readiness.as_deref())?,
             metrics,
-            peer_port: self.checked_peer_port(file)?,
-            seeds: self.checked_seeds(file)?,
-            store: endpoint(file, "store", self.store.as_deref())?.into(),
-            stop_limit_ms: self.checked_stop_limit(file)?,
-            timing: self.checked_timing(file)?,
-            capacity: self.checked_capacity(file)?,
-            link_kbps: self.checked_link(file)?,
+            peer_port: self.parse_peer_port(file)?,
+            seeds: self.parse_seeds(file)?,
+            store: parse_endpoint(file, "store", self.store.as_deref())?.into(),
+            stop_limit_ms: self.parse_stop_limit_ms(file)?,
+            timing: self.parse_timing(file)?,
+            capacity: self.parse_processor_permille(file)?,
+            link_kbps: self.parse_link_kbps(file)?,
         })
     }
 
-    fn checked_capacity(&self, file: &str) -> Result<Option<u32>, ConfigError> {
-        let checked = |field: &str, value: f64| {
-            let is_valid = value.is_finite() && value > 0.0 && value <= MOST_PROCESSORS;
-            let expected = format!("above 0, at most {MOST_PROCESSORS}");
-            let refused = || ConfigError::field(file, field, value, expected);
-            if is_valid { Ok(value) } else { Err(refused()) }
+    fn parse_processor_permille(&self, file: &str) -> Result<Option<u32>, ConfigError> {
+        let check_range = |field: &str, value: f64| {
+            let is_valid = value.is_finite() && value > 0.0 && value <= MAX_PROCESSORS;
+            let expected = format!("above 0, at most {MAX_PROCESSORS}");
+            let error = || ConfigError::field(file, field, value, expected);
+            if is_valid { Ok(value) } else { Err(error()) }
         };
-        let processors = checked("processors", self.processors.unwrap_or(1.0))?;
+        let processors = check_range("processors", self.processors.unwrap_or(1.0))?;
         let Some(share) = self.processor_share else { return Ok(None) };
-        let share = checked("processor_share", share)?;
-        // At most MOST_PROCESSORS squared, in thousandths.
+        let share = check_range("processor_share", share)?;
+        // Fits in u32: at most MAX_PROCESSORS squared, in thousandths.
         Ok(Some((share * processors * 1_000.0).ceil() as u32))
     }
 
-    fn checked_link(&self, file: &str) -> Result<Option<u32>, ConfigError> {
+    fn parse_link_kbps(&self, file: &str) -> Result<Option<u32>, ConfigError> {
         let Some(rate) = self.link_mbps else { return Ok(None) };
-        if !(rate.is_finite() && rate > 0.0 && rate <= FASTEST_LINK_MBPS) {
-            let expected = format!("above 0, at most {FASTEST_LINK_MBPS}");
+        if !(rate.is_finite() && rate > 0.0 && rate <= MAX_LINK_MBPS) {
+            let expected = format!("above 0, at most {MAX_LINK_MBPS}");
             return Err(ConfigError::field(file, "link_mbps", rate, expected));
         }
-        // In range by the check above.
+        // Fits in u32, as the range was checked above.
         Ok(Some((rate * 1_000.0).ceil() as u32))
     }
 
-    fn checked_peer_port(&self, file: &str) -> Result<u16, ConfigError> {
+    fn parse_peer_port(&self, file: &str) -> Result<u16, ConfigError> {
         match self.peer_port {
             Some(port) if port > 0 => Ok(port),
             Some(port) => Err(ConfigError::field(file, "peer_port", port, "1 to 65535")),
@@ -232,32 +234,32 @@
         }
     }
 
-    fn checked_seeds(&self, file: &str) -> Result<Vec<Ipv4Addr>, ConfigError> {
+    fn parse_seeds(&self, file: &str) -> Result<Vec<Ipv4Addr>, ConfigError> {
         let seeds = self.seeds.iter().flatten().enumerate();
         seeds
-            .map(|(place, seed)| {
-                let field = format!("seeds[{place}]");
-                endpoint(file, &field, Some(seed)).map(|seed| *seed.ip())
+            .map(|(index, seed)| {
+                let field = format!("seeds[{index}]");
+                parse_endpoint(file, &field, Some(seed)).map(|seed| *seed.ip())
             })
             .collect()
     }
 
-    fn checked_locality(&self, file: &str) -> Result<Locality, ConfigError> {
-        let zone = text(file, "zone", self.zone.as_deref())?;
+    fn parse_locality(&self, file: &str) -> Result<Locality, ConfigError> {
+        let zone = parse_text(file, "zone", self.zone.as_deref())?;
         let Some(regions) = &self.regions else {
             return Ok(Locality::new(zone, String::new(), HashMap::new()));
         };
-        let region = text(file, "region", self.region.as_deref())?;
+        let region = parse_text(file, "region", self.region.as_deref())?;
         Ok(Locality::new(zone, region, regions.clone()))
     }
 
-    fn checked_timing(&self, file: &str) -> Result<Timing, ConfigError> {
+    fn parse_timing(&self, file: &str) -> Result<Timing, ConfigError> {
         let default = Bounds::default();
         let bound = |field: &str, value: Option<u64>, default| match value {
             None => Ok(default),
-            Some(value) if (1..=LONGEST_BOUND_MS).contains(&value) => Ok(value),
+            Some(value) if (1..=MAX_BOUND_MS).contains(&value) => Ok(value),
             Some(value) => {
-                let expected = format!("1 to {LONGEST_BOUND_MS} milliseconds");
+                let expected = format!("1 to {MAX_BOUND_MS} milliseconds");
                 Err(ConfigError::field(file, field, value, expected))
             }
         };
@@ -273,17 +275,17 @@
         }))
     }
 
-    fn checked_stop_limit(&self, file: &str) -> Result<u64, ConfigError> {
+    fn parse_stop_limit_ms(&self, file: &str) -> Result<u64, ConfigError> {
         let Some(seconds) = self.stop_limit_s else { return Ok(DEFAULT_STOP_LIMIT_MS) };
         if !(seconds.is_finite() && (0.0..=3_600.0).contains(&seconds)) {
             return Err(ConfigError::field(file, "stop_limit_s", seconds, "0 to 3600 seconds"));
         }
-        // In range by the check above.
+        // Fits in u64, as the range was checked above.
         Ok((seconds * 1_000.0) as u64)
     }
 }
 
-fn text(file: &str, field: &str, value: Option<&str>) -> Result<String, ConfigError> {
+fn parse_text(file: &str, field: &str, value: Option<&str>) -> Result<String, ConfigError> {
     match value {
         Some(value) if !value.trim().is_empty() => Ok(value.to_owned()),
         Some(value) => Err(ConfigError::field(file, field, format!("{value:?}"), "some text")),
@@ -291,23 +293,27 @@
     }
 }
 
-/// A number from `least`, which holds if none is given, to `most`.
-fn number(
+/// Parses a number from `min` to `max`; `min` is the default.
+fn parse_number(
     file: &str,
     field: &str,
     value: Option<f64>,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<f64, ConfigError> {
-    let value = value.unwrap_or(least);
-    if (least..=most).contains(&value) {
+    let value = value.unwrap_or(min);
+    if (min..=max).contains(&value) {
         return Ok(value);
     }
-    Err(ConfigError::field(file, field, value, format!("{least} to {most}")))
+    Err(ConfigError::field(file, field, value, format!("{min} to {max}")))
 }
 
-fn endpoint(file: &str, field: &str, value: Option<&str>) -> Result<SocketAddrV4, ConfigError> {
-    let value = text(file, field, value)?;
+fn parse_endpoint(
+    file: &str,
+    field: &str,
+    value: Option<&str>,
+) -> Result<SocketAddrV4, ConfigError> {
+    let value = parse_text(file, field, value)?;
     value.parse().map_err(|_| {
         ConfigError::field(file, field, format!("{value:?}"), "an IPv4 address and port")
     })
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/status.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics, as the outside sees them.
+//! The readiness and metrics endpoints of a daemon.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,14 +8,14 @@
 use weirhinge_observe::Metrics;
 
 use crate::fleet_node::FleetNode;
-use crate::http::{Answer, serve};
+use crate::http_server::{TextResponse, serve};
 use crate::platform::Platform;
 use crate::settings::CommonSettings;
 
-/// Path of the metrics.
+/// Path of the metrics endpoint.
 const METRICS_PATH: &str = "/metrics";
 
-/// Whether this daemon should get work.
+/// Whether a daemon is ready to receive packets.
 #[derive(Clone)]
 pub struct Status {
     node: Rc<RefCell<FleetNode>>,
@@ -26,7 +26,7 @@
 }
 
 impl Status {
-    /// A daemon that is ready once it knows a configuration.
+    /// Creates the status of a daemon that is ready once it knows a configuration.
     pub fn new(node: Rc<RefCell<FleetNode>>) -> Self {
         Self {
             node,
@@ -37,35 +37,39 @@
         }
     }
 
-    /// A daemon that is ready as soon as it runs.
+    /// Creates the status of a daemon that is ready as soon as it runs.
     pub fn always(node: Rc<RefCell<FleetNode>>) -> Self {
         Self { needs_configuration: false, ..Self::new(node) }
     }
 
-    /// Is not ready from now on.
+    /// Marks the daemon as stopping; it is not ready from now on.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Notes whether this daemon is cut off from the others. Returns whether that
-    /// is new.
+    /// Sets whether the daemon is isolated from all agents; while it is, it is not ready. Returns
+    /// whether this changed.
     pub fn set_isolated(&self, isolated: bool) -> bool {
         self.isolated.replace(isolated) != isolated
     }
 
-    /// Notes whether this daemon leaves the packets to others for lack of time.
-    /// Returns whether that is new.
+    /// Sets whether the daemon leaves packets to other balancers because it is overloaded; while
+    /// it does, it is not ready. Returns whether this changed.
     pub fn set_withdrawn(&self, withdrawn: bool) -> bool {
         self.withdrawn.replace(withdrawn) != withdrawn
     }
 
     fn is_ready(&self) -> bool {
-        let knows = !self.needs_configuration || self.node.borrow().view().label().is_some();
-        knows && !self.stopping.get() && !self.isolated.get() && !self.withdrawn.get()
+        let has_required_configuration =
+            !self.needs_configuration || self.node.borrow().view().label().is_some();
+        has_required_configuration
+            && !self.stopping.get()
+            && !self.isolated.get()
+            && !self.withdrawn.get()
     }
 }
 
-/// Serves readiness and, if the settings say where, metrics.
+/// Serves readiness and, if the settings contain an address for them, metrics.
 ///
 /// # Errors
 /// When an address cannot be bound.
@@ -75,22 +79,22 @@
     status: Status,
     metrics: Arc<Metrics>,
 ) -> eyre::Result<()> {
-    let path = platform.readiness_path();
-    let readiness = move |asked: &str| match (asked == path, status.is_ready()) {
-        (true, true) => answer(StatusCode::OK, "ready\n"),
-        (true, false) => answer(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        (false, _) => answer(StatusCode::NOT_FOUND, "not found\n"),
+    let readiness_path = platform.readiness_path();
+    let answer_readiness = move |path: &str| match (path == readiness_path, status.is_ready()) {
+        (true, true) => text_response(StatusCode::OK, "ready\n"),
+        (true, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+        (false, _) => text_response(StatusCode::NOT_FOUND, "not found\n"),
     };
-    serve(settings.readiness, readiness).await?;
+    serve(settings.readiness, answer_readiness).await?;
     let Some(address) = settings.metrics else { return Ok(()) };
-    let encode = move |asked: &str| match (asked == METRICS_PATH, metrics.encode()) {
-        (false, _) => answer(StatusCode::NOT_FOUND, "not found\n"),
-        (true, Ok(body)) => Answer { status: StatusCode::OK, body },
-        (true, Err(error)) => answer(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+    let answer_metrics = move |path: &str| match (path == METRICS_PATH, metrics.encode()) {
+        (false, _) => text_response(StatusCode::NOT_FOUND, "not found\n"),
+        (true, Ok(body)) => TextResponse { status: StatusCode::OK, body },
+        (true, Err(error)) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     };
-    serve(address, encode).await
+    serve(address, answer_metrics).await
 }
 
-fn answer(status: StatusCode, body: &str) -> Answer {
-    Answer { status, body: body.to_owned() }
+fn text_response(status: StatusCode, body: &str) -> TextResponse {
+    TextResponse { status, body: body.to_owned() }
 }
--- a/crates/relay/src/store_client.rs
+++ b/crates/relay/src/store_client.rs
@@ -145,9 +145,9 @@
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|error| self.step_error("send request to", error))?;
+            .map_err(|error| self.step_error("ask", error))?;
         let response = connection.sender.send_request(request).await;
-        let response = response.map_err(|error| self.step_error("send request to", error))?;
+        let response = response.map_err(|error| self.step_error("ask", error))?;
         let status = response.status();
         let headers = response.headers().clone();
         let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
