--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -4,7 +4,7 @@
 use weirhinge_fleet::{
     Millis, Position, Update, VersionedConfiguration, VersionedTarget, ZoneChange, ZoneNews,
 };
-use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHead};
+use weirhinge_steering::{AnswerStatus, FlowKey, MalformedPacket, PacketHeader};
 
 /// Why an item of the store was rejected, for logs and counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// Returns why the packet is malformed.
-    fn decode(&self, packet: &[u8]) -> Result<PacketHead, MalformedPacket>;
+    fn decode(&self, packet: &[u8]) -> Result<PacketHeader, MalformedPacket>;
 
     /// Writes the echo label, which the packet carries back if a target bounces it.
     fn write_echo(&self, packet: &mut [u8], echo: u32);
