--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -16,17 +16,17 @@
 use weirhinge_fleet::{Millis, PeerRole, ServiceId, TargetClaim};
 use weirhinge_steering::{Agent, ColdStartRate};
 
-use crate::base::Base;
 use crate::clock::Clock;
+use crate::daemon_context::DaemonContext;
 use crate::events::DecisionLog;
 use crate::fleet_node::FleetNode;
 use crate::link::PeerLink;
 use crate::metrics::AgentMetrics;
 use crate::platform::Platform;
 use crate::process::{ProcessLog, Signals};
-use crate::reload::{Reloaded, SettingsWatch};
+use crate::readiness::{Readiness, serve_endpoints};
+use crate::reload::{ReloadedSettings, SettingsWatcher};
 use crate::settings::{AgentSettings, RawSettings};
-use crate::status::{Status, serve_status};
 
 /// How often waiting opening packets are looked at.
 const OPENINGS_POLL: Duration = Duration::from_millis(60);
@@ -84,17 +84,17 @@
     mut signals: Signals,
 ) -> eyre::Result<()> {
     let common = settings.common.clone();
-    let (base, agent_metrics) =
-        Base::start(&common, PeerRole::Agent, process_log, AgentMetrics::declare).await?;
-    let Base { clock, log, node, link, metrics } = base;
+    let (daemon_context, agent_metrics) =
+        DaemonContext::start(&common, PeerRole::Agent, process_log, AgentMetrics::declare).await?;
+    let DaemonContext { clock, log, node, link, metrics } = daemon_context;
     let output = bind(settings.target_output, "the target's output").await?;
     let target = bind(SocketAddrV4::new(common.address, 0), "the target's input").await?;
     target
         .connect(settings.target)
         .await
         .wrap_err_with(|| format!("connect to the target at {}", settings.target))?;
-    let status = Status::always(Rc::clone(&node));
-    serve_status(&platform, &common, status.clone(), metrics).await?;
+    let readiness = Readiness::always_ready(Rc::clone(&node));
+    serve_endpoints(&platform, &common, readiness.clone(), metrics).await?;
     let daemon = Rc::new(Daemon {
         platform,
         clock,
@@ -120,13 +120,13 @@
     tokio::task::spawn_local(Rc::clone(&daemon).watch_openings());
     tokio::task::spawn_local(Rc::clone(&daemon).tick());
     let role = (settings.target, settings.target_output, settings.service.clone());
-    let watch = SettingsWatch {
+    let watch = SettingsWatcher {
         file: settings_file,
         current: common.clone(),
         read: move |file: &str| {
             let new = RawSettings::from_file(file)?.into_agent(file)?;
-            let role_unchanged = (new.target, new.target_output, new.service) == role;
-            Ok(Reloaded { common: new.common, role_unchanged })
+            let is_role_unchanged = (new.target, new.target_output, new.service) == role;
+            Ok(ReloadedSettings { common: new.common, is_role_unchanged })
         },
         node: Rc::clone(&daemon.node),
         log: log.clone(),
@@ -136,7 +136,7 @@
         "address" => common.address.to_string(), "service" => &settings.service,
         "target" => settings.target.to_string());
     signals.stopped().await;
-    status.stop();
+    readiness.set_stopping();
     info!(log, "agent: stopping"; "event" => "stop", "waiting" => daemon.core.borrow().waiting());
     let told_at = clock.now();
     daemon.leave_when_idle(common.stop_limit_ms).await;
--- a/crates/relay/src/balancer/mod.rs
+++ b/crates/relay/src/balancer/mod.rs
@@ -22,17 +22,17 @@
 };
 
 use crate::backlog::Backlog;
-use crate::base::Base;
 use crate::clock::Clock;
+use crate::daemon_context::DaemonContext;
 use crate::events::{Basis, DecisionLog, Forwarded};
 use crate::fleet_node::FleetNode;
 use crate::link::PeerLink;
 use crate::metrics::{BalancerMetrics, StoreMetrics};
 use crate::platform::Platform;
 use crate::process::{ProcessLog, Signals};
-use crate::reload::{Reloaded, SettingsWatch};
+use crate::readiness::{Readiness, serve_endpoints};
+use crate::reload::{ReloadedSettings, SettingsWatcher};
 use crate::settings::{BalancerSettings, RawSettings};
-use crate::status::{Status, serve_status};
 use crate::store::StoreReader;
 
 /// How often digests go out and old state is dropped.
@@ -76,17 +76,19 @@
     let common = settings.common.clone();
     let declare =
         |metrics: &mut Metrics| (BalancerMetrics::declare(metrics), StoreMetrics::declare(metrics));
-    let (base, (balancer_metrics, store_metrics)) =
-        Base::start(&common, PeerRole::Balancer, process_log, declare).await?;
-    let Base { clock, log, node, link, metrics } = base;
+    let (daemon_context, (balancer_metrics, store_metrics)) =
+        DaemonContext::start(&common, PeerRole::Balancer, process_log, declare).await?;
+    let DaemonContext { clock, log, node, link, metrics } = daemon_context;
     let packets = UdpSocket::bind(common.packets)
         .await
         .wrap_err_with(|| format!("bind packets at {}", common.packets))?;
-    let limits =
-        BalancerLimits { processor_permille: common.capacity, link_kbps: common.link_kbps };
+    let limits = BalancerLimits {
+        processor_permille: common.processor_permille,
+        link_kbps: common.link_kbps,
+    };
     let core = Balancer::with_limits(common.timing, limits);
-    let status = Status::new(Rc::clone(&node));
-    serve_status(&platform, &common, status.clone(), metrics).await?;
+    let readiness = Readiness::new(Rc::clone(&node));
+    serve_endpoints(&platform, &common, readiness.clone(), metrics).await?;
     let daemon = Rc::new(Daemon {
         platform: platform.clone(),
         clock,
@@ -106,13 +108,13 @@
     });
     let reader =
         StoreReader::new(platform, &common, Rc::clone(&node), clock, store_metrics, log.clone());
-    start_tasks(&daemon, reader, status.clone());
-    let watch = SettingsWatch {
+    start_tasks(&daemon, reader, readiness.clone());
+    let watch = SettingsWatcher {
         file: settings_file,
         current: common.clone(),
         read: |file: &str| {
             let common = RawSettings::from_file(file)?.into_balancer(file)?.common;
-            Ok(Reloaded { common, role_unchanged: true })
+            Ok(ReloadedSettings { common, is_role_unchanged: true })
         },
         node,
         log: log.clone(),
@@ -121,7 +123,7 @@
     info!(log, "balancer: started"; "event" => "start", "zone" => &common.zone,
         "address" => common.address.to_string());
     signals.stopped().await;
-    status.stop();
+    readiness.set_stopping();
     daemon.link.announce_stop();
     info!(log, "balancer: stopping"; "event" => "stop", "flows" => daemon.flow_count());
     daemon.serve_until_routers_left(common.stop_limit_ms).await;
@@ -129,7 +131,7 @@
     Ok(())
 }
 
-fn start_tasks<P: Platform>(daemon: &Rc<Daemon<P>>, reader: StoreReader<P>, status: Status) {
+fn start_tasks<P: Platform>(daemon: &Rc<Daemon<P>>, reader: StoreReader<P>, readiness: Readiness) {
     let news = Rc::clone(daemon);
     tokio::task::spawn_local(reader.run(move || {
         news.link.spread_news();
@@ -138,8 +140,8 @@
     tokio::task::spawn_local(Rc::clone(daemon).take_datagrams());
     tokio::task::spawn_local(Rc::clone(daemon).continue_resting());
     tokio::task::spawn_local(Rc::clone(daemon).tick());
-    tokio::task::spawn_local(Rc::clone(daemon).watch_isolation(status.clone()));
-    tokio::task::spawn_local(Rc::clone(daemon).watch_pressure(status));
+    tokio::task::spawn_local(Rc::clone(daemon).watch_isolation(readiness.clone()));
+    tokio::task::spawn_local(Rc::clone(daemon).watch_pressure(readiness));
 }
 
 impl<P: Platform> Daemon<P> {
--- a/crates/relay/src/balancer/watch.rs
+++ b/crates/relay/src/balancer/watch.rs
@@ -10,7 +10,7 @@
 
 use super::Daemon;
 use crate::platform::Platform;
-use crate::status::Status;
+use crate::readiness::Readiness;
 
 /// How often the reach of agents is looked at.
 const ISOLATION_POLL: Duration = Duration::from_millis(100);
@@ -42,7 +42,7 @@
 impl<P: Platform> Daemon<P> {
     /// Is not ready while cut off from all agents, so that routers use others. Probes find
     /// out when that ends: 40 small datagrams a second at most, whatever the fleet's size.
-    pub(super) async fn watch_isolation(self: Rc<Self>, status: Status) {
+    pub(super) async fn watch_isolation(self: Rc<Self>, readiness: Readiness) {
         let mut polled_at = self.clock.now();
         loop {
             tokio::time::sleep(ISOLATION_POLL).await;
@@ -57,7 +57,7 @@
                 self.link.probe_agents();
             }
             let isolated = self.core.borrow().is_isolated(now);
-            if status.set_isolated(isolated) {
+            if readiness.set_isolated(isolated) {
                 info!(self.log, "balancer: reach of agents changed"; "event" => "isolation",
                     "isolated" => isolated);
             }
@@ -66,7 +66,7 @@
 
     /// While packets have to wait, leaves those of unknown flows to balancers of the
     /// zone that have far more processor time.
-    pub(super) async fn watch_pressure(self: Rc<Self>, status: Status) {
+    pub(super) async fn watch_pressure(self: Rc<Self>, readiness: Readiness) {
         let mut pressed_polls = 0;
         let mut overload = OverloadWatch::default();
         loop {
@@ -78,12 +78,12 @@
             }
             pressed_polls = if pressed { pressed_polls + 1 } else { 0 };
             self.choose_helpers(now);
-            self.watch_overload(&mut overload, &status, now);
+            self.watch_overload(&mut overload, &readiness, now);
         }
     }
 
     /// Is not ready while packets wait for too long and other balancers keep up.
-    fn watch_overload(&self, watch: &mut OverloadWatch, status: &Status, now: Millis) {
+    fn watch_overload(&self, watch: &mut OverloadWatch, readiness: &Readiness, now: Millis) {
         let longest_wait_ms = self.backlog.borrow_mut().take_longest_wait();
         let peers = self.node.borrow().peer_load(now);
         let withdrawn = watch.monitor.observe(longest_wait_ms, peers, now);
@@ -93,7 +93,7 @@
         if has_changed || (overloaded && watch.looks.is_multiple_of(COMPARE_EVERY)) {
             self.link.compare_loads(overloaded);
         }
-        if status.set_withdrawn(withdrawn) {
+        if readiness.set_withdrawn(withdrawn) {
             info!(self.log, "balancer: readiness changed with load"; "event" => "overload",
                 "withdrawn" => withdrawn, "longest_wait_ms" => longest_wait_ms,
                 "peers_keeping_up" => peers.keeping_up, "peers_overloaded" => peers.overloaded);
--- a/crates/relay/src/base.rs
+++ b/crates/relay/src/daemon_context.rs
@@ -16,7 +16,7 @@
 use crate::settings::CommonSettings;
 
 /// The clock, log, fleet state, peer link and metrics of a daemon.
-pub struct Base {
+pub struct DaemonContext {
     /// The daemon's clock.
     pub clock: Clock,
     /// The logger; adds the daemon's name to each line.
@@ -29,7 +29,7 @@
     pub metrics: Arc<Metrics>,
 }
 
-impl Base {
+impl DaemonContext {
     /// Sets up a daemon of this role. `declare` declares the metrics of the role and returns their
     /// handles.
     ///
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -90,7 +90,7 @@
             checks: Cell::default(),
             reading: false,
             zone: ZoneId::of(&settings.zone),
-            capacity: settings.capacity,
+            capacity: settings.processor_permille,
             stopping: false,
             overloaded: false,
             claim: None,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -7,8 +7,8 @@
 mod agent;
 mod backlog;
 mod balancer;
-mod base;
 mod clock;
+mod daemon_context;
 mod events;
 mod fleet_node;
 mod http_server;
@@ -17,11 +17,11 @@
 mod peer_stream;
 mod platform;
 mod process;
+mod readiness;
 mod receive;
 mod reload;
 mod reported_rejections;
 mod settings;
-mod status;
 mod store;
 mod store_client;
 
--- a/crates/relay/src/status.rs
+++ b/crates/relay/src/readiness.rs
@@ -17,7 +17,7 @@
 
 /// Whether a daemon is ready to receive packets.
 #[derive(Clone)]
-pub struct Status {
+pub struct Readiness {
     node: Rc<RefCell<FleetNode>>,
     needs_configuration: bool,
     stopping: Rc<Cell<bool>>,
@@ -25,8 +25,8 @@
     withdrawn: Rc<Cell<bool>>,
 }
 
-impl Status {
-    /// Creates the status of a daemon that is ready once it knows a configuration.
+impl Readiness {
+    /// Creates the readiness of a daemon that is ready once it knows a configuration.
     pub fn new(node: Rc<RefCell<FleetNode>>) -> Self {
         Self {
             node,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Creates the status of a daemon that is ready as soon as it runs.
-    pub fn always(node: Rc<RefCell<FleetNode>>) -> Self {
+    /// Creates the readiness of a daemon that is ready as soon as it runs.
+    pub fn always_ready(node: Rc<RefCell<FleetNode>>) -> Self {
         Self { needs_configuration: false, ..Self::new(node) }
     }
 
     /// Marks the daemon as stopping; it is not ready from now on.
-    pub fn stop(&self) {
+    pub fn set_stopping(&self) {
         self.stopping.set(true);
     }
 
@@ -73,14 +73,14 @@
 ///
 /// # Errors
 /// When an address cannot be bound.
-pub async fn serve_status<P: Platform>(
+pub async fn serve_endpoints<P: Platform>(
     platform: &P,
     settings: &CommonSettings,
-    status: Status,
+    readiness: Readiness,
     metrics: Arc<Metrics>,
 ) -> eyre::Result<()> {
     let readiness_path = platform.readiness_path();
-    let answer_readiness = move |path: &str| match (path == readiness_path, status.is_ready()) {
+    let answer_readiness = move |path: &str| match (path == readiness_path, readiness.is_ready()) {
         (true, true) => text_response(StatusCode::OK, "ready\n"),
         (true, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         (false, _) => text_response(StatusCode::NOT_FOUND, "not found\n"),
--- a/crates/relay/src/reload.rs
+++ b/crates/relay/src/reload.rs
@@ -19,15 +19,15 @@
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The settings read from a changed file.
-pub struct Reloaded {
+pub struct ReloadedSettings {
     /// The settings of both roles.
     pub common: CommonSettings,
     /// Whether the settings that only this role has are unchanged.
-    pub role_unchanged: bool,
+    pub is_role_unchanged: bool,
 }
 
 /// Watches the settings file of one process.
-pub struct SettingsWatch<R> {
+pub struct SettingsWatcher<R> {
     /// The file's path.
     pub file: String,
     /// The settings in effect.
@@ -40,7 +40,7 @@
     pub log: Logger,
 }
 
-impl<R: Fn(&str) -> Result<Reloaded, ConfigError>> SettingsWatch<R> {
+impl<R: Fn(&str) -> Result<ReloadedSettings, ConfigError>> SettingsWatcher<R> {
     /// Watches the file until the process ends.
     pub async fn run(mut self, mut signals: Signals) {
         let mut modified_at = self.modified_at();
@@ -74,7 +74,7 @@
             self.node.borrow_mut().set_seeds(&seeds);
             self.current.seeds = seeds;
         }
-        let is_fully_applied = reloaded.role_unchanged && reloaded.common == self.current;
+        let is_fully_applied = reloaded.is_role_unchanged && reloaded.common == self.current;
         let outcome = match (is_fully_applied, has_new_seeds) {
             (true, true) => "applied",
             (true, false) => "unchanged",
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -105,7 +105,7 @@
     pub timing: Timing,
     /// Processor time that the process may use, in thousandths of a processor; `None` if
     /// unknown. Balancers of a zone are compared by it.
-    pub capacity: Option<u32>,
+    pub processor_permille: Option<u32>,
     /// Rate of the machine's link in kilobits per second; `None` if unknown. Limits the traffic
     /// of searches for lost flows to a part of it.
     pub link_kbps: Option<u32>,
@@ -197,7 +197,7 @@
             store: parse_endpoint(file, "store", self.store.as_deref())?.into(),
             stop_limit_ms: self.parse_stop_limit_ms(file)?,
             timing: self.parse_timing(file)?,
-            capacity: self.parse_processor_permille(file)?,
+            processor_permille: self.parse_processor_permille(file)?,
             link_kbps: self.parse_link_kbps(file)?,
         })
     }
