--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -93,7 +93,7 @@
         .connect(settings.target)
         .await
         .wrap_err_with(|| format!("connect to the target at {}", settings.target))?;
-    let readiness = Readiness::always_ready(Rc::clone(&node));
+    let readiness = Readiness::ready_from_start(Rc::clone(&node));
     serve_endpoints(&platform, &common, readiness.clone(), metrics).await?;
     let daemon = Rc::new(Daemon {
         platform,
--- a/crates/relay/src/daemon_context.rs
+++ b/crates/relay/src/daemon_context.rs
@@ -21,7 +21,7 @@
     pub clock: Clock,
     /// The logger; adds the daemon's name to each line.
     pub log: Logger,
-    /// The daemon's state of the fleet.
+    /// What the daemon knows about the fleet.
     pub node: Rc<RefCell<FleetNode>>,
     /// The link to the daemon's peers.
     pub link: Rc<PeerLink>,
@@ -54,7 +54,7 @@
         let node = Rc::new(RefCell::new(FleetNode::new(settings, role, log.clone())));
         let link =
             PeerLink::start(settings, Rc::clone(&node), clock, fleet_metrics, log.clone()).await?;
-        let base = Self { clock, log, node, link, metrics: metrics.freeze() };
-        Ok((base, role_metrics))
+        let context = Self { clock, log, node, link, metrics: metrics.freeze() };
+        Ok((context, role_metrics))
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,9 @@
 //! The relay daemons: a balancer and an agent for targets that terminate flows themselves.
 //!
-//! Each daemon runs on one thread. It receives and sends packets, reads the platform's store and
-//! exchanges state with its peers. `weirhinge-steering` makes the decisions, `weirhinge-fleet`
-//! keeps the state of the fleet. Packet and document formats are behind the [`Platform`] trait.
+//! Each daemon runs on one thread. It receives and sends packets and exchanges state with its
+//! peers; balancers also read the platform's store. `weirhinge-steering` makes the decisions and
+//! `weirhinge-fleet` keeps the state of the fleet. Packet and document formats are behind the
+//! [`Platform`] trait.
 
 mod agent;
 mod backlog;
--- a/crates/relay/src/platform.rs
+++ b/crates/relay/src/platform.rs
@@ -13,7 +13,7 @@
     Form,
     /// A number, an address or a name is outside its valid range.
     Range,
-    /// Its key resembles the keys of documents, but is malformed.
+    /// Its key has the prefix of a known kind of item, but no valid name after it.
     Key,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: field {field}: found {found}, expected {expected}")]
 pub struct RejectedItem {
-    /// The kind of fault.
+    /// Why the item was rejected.
     pub reason: RejectReason,
     /// The item's key, or the request if its response as a whole cannot be used.
     pub key: String,
@@ -55,8 +55,7 @@
     pub configuration: Option<VersionedConfiguration>,
     /// The targets on this page.
     pub targets: Vec<VersionedTarget>,
-    /// Targets whose records on this page cannot be used. Their earlier records are no longer
-    /// valid.
+    /// Targets whose records on this page cannot be used; their earlier records no longer count.
     pub removed: Vec<VersionedTarget>,
     /// The names of the evacuated zones on this page.
     pub evacuated: Vec<String>,
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -38,7 +38,7 @@
     }
 
     /// Creates the readiness of a daemon that is ready as soon as it runs.
-    pub fn always_ready(node: Rc<RefCell<FleetNode>>) -> Self {
+    pub fn ready_from_start(node: Rc<RefCell<FleetNode>>) -> Self {
         Self { needs_configuration: false, ..Self::new(node) }
     }
 
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -8,7 +8,7 @@
 use weirhinge_fleet::{Bounds, Timing};
 use weirhinge_steering::Locality;
 
-/// Maximum of all time bounds in the settings, in milliseconds.
+/// Maximum of each time bound in the settings, in milliseconds.
 pub const MAX_BOUND_MS: u64 = 600_000;
 /// Maximum of [`RawSettings::processors`] and of [`RawSettings::processor_share`].
 const MAX_PROCESSORS: f64 = 1_024.0;
@@ -21,7 +21,7 @@
 /// Time limit of a planned stop if the settings contain none, in milliseconds.
 const DEFAULT_STOP_LIMIT_MS: u64 = 5_000;
 
-/// The unchecked fields of a settings file. Unknown fields are rejected.
+/// The fields of a settings file before validation. Unknown fields are rejected.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
@@ -29,7 +29,7 @@
     pub name: Option<String>,
     /// See [`CommonSettings::zone`].
     pub zone: Option<String>,
-    /// Region that the process runs in.
+    /// Region that the process runs in; required if [`Self::regions`] is set.
     pub region: Option<String>,
     /// The region of each zone. Targets in other regions are used only while those in this region
     /// are busy. A zone that is not listed counts as near.
--- a/crates/relay/src/store.rs
+++ b/crates/relay/src/store.rs
@@ -25,7 +25,7 @@
 const WATCH_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 /// How often a balancer that does not read the store checks whether it should.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// The same as long as the balancer knows no state at all.
+/// The same interval while the balancer knows no state yet.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// Most pages read in one listing.
 const MAX_PAGES: usize = 200;
@@ -35,7 +35,7 @@
 enum ListingReason {
     /// No state is known yet.
     Start,
-    /// The store was unreachable since the last listing.
+    /// Reads failed while a listing was due.
     Outage,
     /// The store no longer has the changes after the known position.
     HistoryGone,
@@ -64,9 +64,10 @@
     clock: Clock,
     metrics: StoreMetrics,
     log: Logger,
+    /// Whether a listing is due: none succeeded since the start or the last refused watch.
     needs_list: bool,
     is_store_lost: bool,
-    /// Consecutive watches refused because the store lacks the changes since their position.
+    /// Consecutive watches that could not continue from the known position.
     refused_watches: u32,
     reported_rejections: ReportedRejections,
 }
@@ -114,7 +115,7 @@
                     self.note_store_regained();
                     self.set_reading(true);
                     on_update();
-                    self.keep_watch_spacing(now).await;
+                    self.await_min_watch_interval(now).await;
                 }
                 Err(error) => {
                     self.note_store_lost(&error);
@@ -131,7 +132,7 @@
         self.node.borrow_mut().reading = reading;
     }
 
-    async fn keep_watch_spacing(&self, began_at: Millis) {
+    async fn await_min_watch_interval(&self, began_at: Millis) {
         let elapsed = self.clock.now().saturating_sub(began_at);
         let remaining = self.timing.watch_spacing_ms.saturating_sub(elapsed);
         tokio::time::sleep(Duration::from_millis(remaining)).await;
@@ -155,7 +156,7 @@
             Err(StoreError::Restored { .. }) => ListingReason::Restored,
             Err(error) => return Err(error),
         };
-        info!(self.log, "store: known revision cannot be continued, listing again";
+        info!(self.log, "store: changes after the known revision are unavailable, listing again";
             "event" => "store_history_gone",
             "reason" => reason.label(), "revision" => known.revision);
         self.needs_list = true;
@@ -164,8 +165,8 @@
     }
 
     /// Waits before the next listing, unless this is the first refused watch in a row. One listing
-    /// normally resolves a refusal; when it did not, listing again immediately would only load
-    /// the store.
+    /// normally resolves a refusal; when it did not, listing again immediately would load the store
+    /// without any benefit.
     async fn back_off_after_refusal(&mut self) {
         self.refused_watches += 1;
         if self.refused_watches > 1 {
