--- a/crates/relay/src/balancer/readiness.rs
+++ b/crates/relay/src/balancer/readiness.rs
@@ -11,7 +11,7 @@
 
 use super::Daemon;
 use crate::platform::Platform;
-use crate::status::Status;
+use crate::readiness::Readiness;
 
 /// Interval at which the balancer checks whether it reaches agents.
 const ISOLATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -45,7 +45,7 @@
     /// Makes the balancer unready while it is cut off from all agents, so that routers use other
     /// balancers. Probes detect when the isolation ends; they take at most 40 small datagrams a
     /// second, independent of the fleet's size.
-    pub(super) async fn monitor_isolation(self: Rc<Self>, status: Status) {
+    pub(super) async fn monitor_isolation(self: Rc<Self>, readiness: Readiness) {
         let mut polled_at = self.clock.now();
         loop {
             tokio::time::sleep(ISOLATION_POLL_INTERVAL).await;
@@ -60,7 +60,7 @@
                 self.link.probe_agents();
             }
             let isolated = self.core.borrow().is_isolated(now);
-            if status.set_isolated(isolated) {
+            if readiness.set_isolated(isolated) {
                 info!(self.log, "balancer: isolation from agents changed"; "event" => "isolation",
                     "isolated" => isolated);
             }
@@ -69,7 +69,7 @@
 
     /// While the backlog is under pressure, selects helpers, which take packets of unknown
     /// flows: balancers of the zone with far more processor time. Also tracks overload.
-    pub(super) async fn monitor_pressure(self: Rc<Self>, status: Status) {
+    pub(super) async fn monitor_pressure(self: Rc<Self>, readiness: Readiness) {
         let mut polls_under_pressure = 0;
         let mut overload = OverloadState::default();
         loop {
@@ -81,12 +81,12 @@
             }
             polls_under_pressure = if under_pressure { polls_under_pressure + 1 } else { 0 };
             self.update_helpers(now);
-            self.update_overload(&mut overload, &status, now);
+            self.update_overload(&mut overload, &readiness, now);
         }
     }
 
     /// Makes the balancer unready while packets wait too long and other balancers keep up.
-    fn update_overload(&self, overload: &mut OverloadState, status: &Status, now: Millis) {
+    fn update_overload(&self, overload: &mut OverloadState, readiness: &Readiness, now: Millis) {
         let longest_wait_ms = self.backlog.borrow_mut().take_longest_wait();
         let peers = self.node.borrow().peer_load(now);
         let withdrawn = overload.monitor.observe(longest_wait_ms, peers, now);
@@ -98,7 +98,7 @@
         {
             self.link.exchange_load_reports(overloaded);
         }
-        if status.set_withdrawn(withdrawn) {
+        if readiness.set_withdrawn(withdrawn) {
             info!(self.log, "balancer: readiness changed with load"; "event" => "overload",
                 "withdrawn" => withdrawn, "longest_wait_ms" => longest_wait_ms,
                 "peers_keeping_up" => peers.keeping_up, "peers_overloaded" => peers.overloaded);
--- a/crates/relay/src/fleet_node/mod.rs
+++ b/crates/relay/src/fleet_node/mod.rs
@@ -93,7 +93,7 @@
             verification: Cell::default(),
             reading: false,
             zone: ZoneId::of(&settings.zone),
-            capacity: settings.capacity,
+            capacity: settings.processor_permille,
             stopping: false,
             overloaded: false,
             target_status: None,
