--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -32,7 +32,7 @@
     match fault {
         Fault::StopBalancer(place) => {
             fleet.balancers[place].signal(Signal::SIGTERM)?;
-            fleet.balancers[place].ended().await?;
+            fleet.balancers[place].wait_for_exit().await?;
             fleet.balancers[place].restart()
         }
         Fault::DrainTarget(place) => {
@@ -61,7 +61,7 @@
             Ok(())
         }
         Fault::ForeignEntries => {
-            fleet.leave_foreign_entries();
+            fleet.write_foreign_entries();
             Ok(())
         }
         Fault::KillAll => {
@@ -73,16 +73,16 @@
             Ok(())
         }
         Fault::StoreLink(place, trouble) => {
-            fleet.store_links[place].fail(link_fault(trouble));
+            fleet.store_links[place].set_fault(link_fault(trouble));
             Ok(())
         }
         Fault::LossyClients => {
-            fleet.client.impair(LOSSY);
+            fleet.client.set_impairment(LOSSY);
             Ok(())
         }
         Fault::SlowTarget(place) => {
-            let slow = TargetBehaviour { work: SLOW_WORK, ..TargetBehaviour::default() };
-            fleet.targets[place].behave(slow);
+            let slow = TargetBehaviour { service_time: SLOW_WORK, ..TargetBehaviour::default() };
+            fleet.targets[place].set_behaviour(slow);
             Ok(())
         }
         // Callers are no part of the deployment.
@@ -103,11 +103,11 @@
             Ok(())
         }
         Fault::DrainTarget(place) => {
-            fleet.targets[place].renew();
+            fleet.targets[place].renew_identity();
             Ok(())
         }
         Fault::EvacuateZone => {
-            fleet.take_back(NEAR_ZONE);
+            fleet.end_evacuation(NEAR_ZONE);
             Ok(())
         }
         Fault::KillBalancer(place) => fleet.balancers[place].restart(),
@@ -115,7 +115,7 @@
         Fault::KillAgent(place) => fleet.agents[place].restart(),
         Fault::PauseAgent(place) => fleet.agents[place].signal(Signal::SIGCONT),
         Fault::CrashTarget(place) => {
-            fleet.targets[place].revive();
+            fleet.targets[place].recover();
             Ok(())
         }
         Fault::KillAll => {
@@ -124,24 +124,24 @@
         }
         Fault::Store(StoreTrouble::Restored) => {
             fleet.store.restore(copy.clone());
-            fleet.store.fail(StoreFault::None);
-            fleet.write_again();
+            fleet.store.set_fault(StoreFault::None);
+            fleet.rewrite_entries();
             Ok(())
         }
         Fault::Store(_) => {
-            fleet.store.fail(StoreFault::None);
+            fleet.store.set_fault(StoreFault::None);
             Ok(())
         }
         Fault::StoreLink(place, _) => {
-            fleet.store_links[place].fail(LinkFault::None);
+            fleet.store_links[place].set_fault(LinkFault::None);
             Ok(())
         }
         Fault::LossyClients => {
-            fleet.client.impair(Impairment::default());
+            fleet.client.set_impairment(Impairment::default());
             Ok(())
         }
         Fault::SlowTarget(place) => {
-            fleet.targets[place].behave(TargetBehaviour::default());
+            fleet.targets[place].set_behaviour(TargetBehaviour::default());
             Ok(())
         }
     }
@@ -153,9 +153,9 @@
         StoreTrouble::Silent => StoreFault::Silent,
         StoreTrouble::Reset | StoreTrouble::Restored => StoreFault::Reset,
         StoreTrouble::Slow => StoreFault::Slow(SLOW),
-        StoreTrouble::Forgets => return fleet.store.forget_history(),
+        StoreTrouble::Forgets => return fleet.store.discard_history(),
     };
-    fleet.store.fail(fault);
+    fleet.store.set_fault(fault);
 }
 
 fn link_fault(trouble: LinkTrouble) -> LinkFault {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -112,7 +112,11 @@
         balancers: BALANCERS * scale,
         targets: TARGETS.repeat(usize::from(scale)),
         target_zones: TARGET_ZONES.repeat(usize::from(scale)),
-        hash: if options.seed.is_multiple_of(2) { RouterHash::Steady } else { RouterHash::Mod },
+        hash: if options.seed.is_multiple_of(2) {
+            RouterHash::Consistent
+        } else {
+            RouterHash::Modulo
+        },
         processor_shares: Vec::new(),
     };
     let fleet = Fleet::start(program, SETTINGS_TEMPLATE, &plan).await?;
@@ -136,7 +140,7 @@
         soak.expect_crowds().await?;
     }
     soak.change_configuration(true).await;
-    soak.copy = soak.fleet.store.copy();
+    soak.copy = soak.fleet.store.backup();
     soak.callers.start(&soak.fleet.client, &soak.record);
     let started = Instant::now();
     let draw = match options.faults {
@@ -187,7 +191,7 @@
         let from = Instant::now();
         let store_serves = !episode.faults.iter().any(|fault| matches!(fault, Fault::Store(_)));
         // A restored store lacks what was written since the episode before this one began.
-        let copy = std::mem::replace(&mut self.copy, self.fleet.store.copy());
+        let copy = std::mem::replace(&mut self.copy, self.fleet.store.backup());
         for fault in &episode.faults {
             faults::begin(&mut self.fleet, *fault).await?;
             if *fault == Fault::Crowd {
@@ -233,7 +237,7 @@
         for place in CROWD_MACHINES {
             self.crowd_machines.push(self.fleet.add_client(place).await?);
         }
-        self.fleet.objective_ms = Some(OBJECTIVE_MS);
+        self.fleet.latency_objective_ms = Some(OBJECTIVE_MS);
         Ok(())
     }
 
@@ -310,13 +314,13 @@
         let targets = targets.map(|(target, crashed_at)| TargetHistory {
             name: target.name.clone(),
             service: target.service.clone(),
-            ran: target.ran(),
-            taken_at: target.taken_at(),
-            forged: target.forged(),
+            ran: target.executed_requests(),
+            taken_at: target.accepted_at(),
+            forged: target.corrupted_packets(),
             crashed_at,
         });
         let machines = self.crowd_machines.iter().chain([&self.fleet.client]);
-        let forged = machines.map(Client::forged).sum();
+        let forged = machines.map(Client::corrupted_packets).sum();
         Evidence {
             entries: self.record.entries(),
             targets: targets.collect(),
--- a/crates/weirhinge/tests/platform_path.rs
+++ b/crates/weirhinge/tests/platform_path.rs
@@ -21,10 +21,10 @@
     let mut fleet = start(&plan()).await?;
     let mut flows = open_flows(&fleet, 30).await?;
     check_flows_kept(&mut flows, "second").await?;
-    let ran: usize = fleet.targets[..3].iter().map(|target| target.ran().len()).sum();
-    assert_eq!((ran, fleet.targets[3].ran().len()), (60, 0));
+    let ran: usize = fleet.targets[..3].iter().map(|target| target.executed_requests().len()).sum();
+    assert_eq!((ran, fleet.targets[3].executed_requests().len()), (60, 0));
     for (number, target) in fleet.targets[..3].iter().enumerate() {
-        assert!(!target.ran().is_empty(), "target {number} got no request");
+        assert!(!target.executed_requests().is_empty(), "target {number} got no request");
     }
     for (flow, _) in flows {
         flow.close().await;
@@ -34,7 +34,7 @@
     wait_for_version(&fleet, 6, "the new configuration at all balancers").await?;
     let mut flow = open_flow(&fleet).await?;
     request(&mut flow, "moved").await?;
-    assert_eq!(fleet.targets[3].ran(), vec!["moved".to_owned()]);
+    assert_eq!(fleet.targets[3].executed_requests(), vec!["moved".to_owned()]);
     let began = Instant::now();
     assert_eq!(fleet.client.open(Fleet::route(8_080)).await.err(), Some(FlowError::Reset));
     assert!(
@@ -47,18 +47,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn open_flows_survive_balancer_kills_and_shutdowns() -> eyre::Result<()> {
-    for hash in [RouterHash::Mod, RouterHash::Steady] {
+    for hash in [RouterHash::Modulo, RouterHash::Consistent] {
         let mut fleet = start(&FleetPlan { hash, ..plan() }).await?;
         let mut flows = open_flows(&fleet, 25).await?;
         fleet.balancers[0].kill()?;
         check_flows_kept(&mut flows, "killed").await?;
         fleet.balancers[0].restart()?;
         fleet
-            .wait_for("the killed balancer to be ready", |fleet| fleet.routers.ready() == 3)
+            .wait_for("the killed balancer to be ready", |fleet| fleet.routers.ready_count() == 3)
             .await?;
         fleet.balancers[1].signal(Signal::SIGTERM)?;
         check_flows_kept(&mut flows, "stopped").await?;
-        let status = fleet.balancers[1].ended().await?;
+        let status = fleet.balancers[1].wait_for_exit().await?;
         assert!(status.success(), "a graceful shutdown must exit with success: {status}");
         check_flows_kept(&mut flows, "after").await?;
         assert_no_corrupted_packets(&fleet);
@@ -86,15 +86,17 @@
     let fleet = start(&plan()).await?;
     let mut flows = open_flows(&fleet, 20).await?;
     fleet.targets[0].drain();
-    fleet.targets[1].vanish();
+    fleet.targets[1].remove_record();
     // Below the limit of three seconds for a change to take effect.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let before: Vec<usize> = fleet.targets.iter().map(|target| target.ran().len()).collect();
+    let before: Vec<usize> =
+        fleet.targets.iter().map(|target| target.executed_requests().len()).collect();
     for number in 0..20 {
         let mut flow = open_flow(&fleet).await?;
         request(&mut flow, &format!("new-{number}")).await?;
     }
-    let after: Vec<usize> = fleet.targets.iter().map(|target| target.ran().len()).collect();
+    let after: Vec<usize> =
+        fleet.targets.iter().map(|target| target.executed_requests().len()).collect();
     assert_eq!((after[0], after[1], after[2]), (before[0], before[1], before[2] + 20));
     check_flows_kept(&mut flows, "drained").await?;
     assert_no_corrupted_packets(&fleet);
@@ -105,10 +107,10 @@
 async fn stopping_agent_reports_whether_its_target_has_ended() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
     fleet.targets[0].drain();
-    fleet.targets[0].end();
+    fleet.targets[0].terminate();
     for agent in &mut fleet.agents[..2] {
         agent.signal(Signal::SIGTERM)?;
-        agent.ended().await?;
+        agent.wait_for_exit().await?;
     }
     let reported_end = |process: &ProcessHandle| -> eyre::Result<bool> {
         Ok(process.log_text()?.contains("target_ended"))
@@ -120,7 +122,9 @@
 
 /// Sends one request on each of 20 new flows. Returns how many of them each target ran.
 async fn run_on_new_flows(fleet: &Fleet, name: &str) -> eyre::Result<Vec<usize>> {
-    let count = |fleet: &Fleet| fleet.targets.iter().map(|target| target.ran().len()).collect();
+    let count = |fleet: &Fleet| {
+        fleet.targets.iter().map(|target| target.executed_requests().len()).collect()
+    };
     let before: Vec<usize> = count(fleet);
     for number in 0..20 {
         let mut flow = open_flow(fleet).await?;
@@ -152,7 +156,7 @@
     assert_eq!(run_on_new_flows(&fleet, "evacuated").await?, [20, 0, 0, 0]);
     check_flows_kept(&mut flows, "evacuated").await?;
     // A restarted balancer learns of the evacuation, even while the store is down.
-    fleet.store.fail(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Silent);
     for balancer in &mut fleet.balancers {
         balancer.kill()?;
         balancer.restart()?;
@@ -162,10 +166,10 @@
         fleet.balancers.iter().all(|balancer| balancer.log_text().is_ok_and(times))
     };
     fleet.wait_for("the evacuation at the restarted balancers", learned).await?;
-    fleet.wait_for("all balancers to be ready", |fleet| fleet.routers.ready() == 3).await?;
+    fleet.wait_for("all balancers to be ready", |fleet| fleet.routers.ready_count() == 3).await?;
     assert_eq!(run_on_new_flows(&fleet, "restarted").await?, [20, 0, 0, 0]);
     fleet.evacuate(HOME_ZONE);
-    fleet.store.fail(StoreFault::None);
+    fleet.store.set_fault(StoreFault::None);
     wait_for_zone(&fleet, "zone_evacuated", HOME_ZONE, 1).await?;
     assert_eq!(fleet.client.open(Fleet::route(443)).await.err(), Some(FlowError::Reset));
     let refused = |fleet: &Fleet| {
@@ -173,11 +177,11 @@
         fleet.balancers.iter().any(|balancer| balancer.log_text().is_ok_and(reset))
     };
     fleet.wait_for("the reason for the refusal in a log", refused).await?;
-    fleet.take_back(NEAR_ZONE);
+    fleet.end_evacuation(NEAR_ZONE);
     wait_for_zone(&fleet, "zone_returned", NEAR_ZONE, 1).await?;
     let ran = run_on_new_flows(&fleet, "near").await?;
     assert_eq!((ran[0], ran[1] + ran[2]), (0, 20));
-    fleet.take_back(HOME_ZONE);
+    fleet.end_evacuation(HOME_ZONE);
     wait_for_zone(&fleet, "zone_returned", HOME_ZONE, 1).await?;
     let ran = run_on_new_flows(&fleet, "home").await?;
     assert!(ran[0] > 0, "{ran:?}");
@@ -189,15 +193,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn openings_skip_full_targets_and_are_refused_if_all_are_full() -> eyre::Result<()> {
     let fleet = start(&plan()).await?;
-    let full_target = TargetBehaviour { takes_new: false, ..TargetBehaviour::default() };
-    fleet.targets[0].behave(full_target);
-    fleet.targets[1].behave(full_target);
+    let full_target = TargetBehaviour { accepts_new_flows: false, ..TargetBehaviour::default() };
+    fleet.targets[0].set_behaviour(full_target);
+    fleet.targets[1].set_behaviour(full_target);
     for number in 0..15 {
         let mut flow = open_flow(&fleet).await?;
         request(&mut flow, &format!("skip-{number}")).await?;
     }
-    assert_eq!(fleet.targets[2].ran().len(), 15);
-    fleet.targets[2].behave(full_target);
+    assert_eq!(fleet.targets[2].executed_requests().len(), 15);
+    fleet.targets[2].set_behaviour(full_target);
     let began = Instant::now();
     assert_eq!(fleet.client.open(Fleet::route(443)).await.err(), Some(FlowError::Reset));
     assert!(
@@ -258,7 +262,7 @@
     assert!(http_get(agent, METRICS, "/metrics").await?.contains("weirhinge_packets_delivered"));
     assert!(http_get(agent, METRICS, "/elsewhere").await?.starts_with("HTTP/1.1 404"));
     fleet.agents[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.agents[0].ended().await?.success());
+    assert!(fleet.agents[0].wait_for_exit().await?.success());
     let log = fleet.agents[0].log_text()?;
     assert!(log.contains("\"event\":\"stop\"") && log.contains("\"event\":\"stopped\""), "{log}");
     Ok(())
@@ -279,7 +283,7 @@
         let log = balancer.log_text()?;
         assert!(!log.contains("\"event\":\"isolation\""), "{}: {log}", balancer.address);
     }
-    assert_eq!(fleet.routers.ready(), 4);
+    assert_eq!(fleet.routers.ready_count(), 4);
     Ok(())
 }
 
@@ -293,7 +297,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_weirhinge"))
         .args(["explain", "--request", "failed-7"])
-        .args(fleet.logs())
+        .args(fleet.log_files())
         .output()?;
     let explanation = String::from_utf8(output.stdout)?;
     let position = |text: &str| {
@@ -315,8 +319,8 @@
 async fn full_log_pipe_does_not_block_the_process() -> eyre::Result<()> {
     let mut fleet = start(&FleetPlan { balancers: 1, ..plan() }).await?;
     fleet.balancers[0].kill()?;
-    fleet.balancers[0].restart_unread()?;
-    fleet.wait_for("the balancer to be ready", |fleet| fleet.routers.ready() == 1).await?;
+    fleet.balancers[0].restart_with_unread_output()?;
+    fleet.wait_for("the balancer to be ready", |fleet| fleet.routers.ready_count() == 1).await?;
     let mut flows = open_flows(&fleet, 20).await?;
     let began = Instant::now();
     // About 64 kB fit into the pipe and 256 kB into the log writer's queue; each request logs a
@@ -330,6 +334,6 @@
     let lost = counter(&metrics, "weirhinge_log_lines_lost_total");
     assert!(lost.is_some_and(|lost| lost > 0), "{metrics}");
     fleet.balancers[0].signal(Signal::SIGTERM)?;
-    assert!(fleet.balancers[0].ended().await?.success());
+    assert!(fleet.balancers[0].wait_for_exit().await?.success());
     Ok(())
 }
--- a/crates/weirhinge/tests/platform_store.rs
+++ b/crates/weirhinge/tests/platform_store.rs
@@ -24,7 +24,7 @@
             fleet.agents.iter().all(|agent| agent.log_text().is_ok_and(has))
         })
         .await?;
-    fleet.store.fail(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::Silent);
     for balancer in &mut fleet.balancers {
         balancer.kill()?;
     }
@@ -35,7 +35,7 @@
     let mut flow = open_flow(&fleet).await?;
     request(&mut flow, "new").await?;
     // Updates are applied once the store recovers.
-    fleet.store.fail(StoreFault::None);
+    fleet.store.set_fault(StoreFault::None);
     fleet.configure(&[(443, &[("sheets", 1)])]);
     wait_for_version(&fleet, 6, "the new configuration at all balancers").await?;
     Ok(())
@@ -56,7 +56,7 @@
     // then those of another balancer.
     for (round, fault) in faults.into_iter().enumerate() {
         let failing = fleet.balancers[round % 2].address;
-        fleet.store.fail_for(IpAddr::V4(failing), fault);
+        fleet.store.set_fault_for(IpAddr::V4(failing), fault);
         fleet.configure(&[(443, &[("dispatch", 1)])]);
         version += 3;
         wait_for_version(
@@ -65,7 +65,7 @@
             "a change at all balancers while one cannot read the store",
         )
         .await?;
-        fleet.store.fail_for(IpAddr::V4(failing), StoreFault::None);
+        fleet.store.set_fault_for(IpAddr::V4(failing), StoreFault::None);
     }
     Ok(())
 }
@@ -73,9 +73,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_store_history_leads_to_a_new_listing() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
-    fleet.store.forget_history();
+    fleet.store.discard_history();
     fleet.configure(&[(443, &[("sheets", 1)])]);
-    fleet.store.forget_history();
+    fleet.store.discard_history();
     wait_for_version(&fleet, 6, "the configuration written before the history was lost").await?;
     let log = fleet.balancers[0].log_text()?;
     assert!(log.contains("store_history_gone") || log.contains("\"source\":\"peer\""));
@@ -87,7 +87,7 @@
     let mut fleet = start(&plan()).await?;
     for version in [6, 9] {
         for link in &fleet.store_links {
-            link.fail(LinkFault::SilentSoFar);
+            link.set_fault(LinkFault::StallOpenConnections);
         }
         fleet.configure(&[(443, &[("sheets", 1)])]);
         wait_for_version(&fleet, version, "the configuration while old store connections stall")
--- a/crates/weirhinge/tests/pressure.rs
+++ b/crates/weirhinge/tests/pressure.rs
@@ -37,7 +37,7 @@
     fleet.balancers[SMALL].signal(Signal::SIGSTOP)?;
     for number in 0..BURST_PACKETS {
         let port = 1_000 + (round * BURST_PACKETS + number) % 9_000;
-        fleet.client.send_stray(fleet.packets(SMALL), Fleet::route(443), port).await?;
+        fleet.client.send_stray(fleet.packet_address(SMALL), Fleet::route(443), port).await?;
     }
     fleet.balancers[SMALL].signal(Signal::SIGCONT)?;
     tokio::time::sleep(RECEIVE_TIME).await;
@@ -52,7 +52,7 @@
         balancers: 2,
         targets: vec!["dispatch", "dispatch"],
         target_zones: Vec::new(),
-        hash: RouterHash::Steady,
+        hash: RouterHash::Consistent,
         processor_shares: vec![0.05, 0.5],
     };
     let program = Path::new(env!("CARGO_BIN_EXE_weirhinge"));
--- a/crates/weirhinge/tests/restarted_targets.rs
+++ b/crates/weirhinge/tests/restarted_targets.rs
@@ -39,7 +39,7 @@
         if server == restarted {
             // The client gets a reset at once, and no target runs the request.
             assert!(answered.is_err(), "flow {number} continues at a target that lost it");
-            let ran = fleet.targets.iter().flat_map(|target| target.ran());
+            let ran = fleet.targets.iter().flat_map(|target| target.executed_requests());
             assert!(!ran.into_iter().any(|ran| ran == id), "{id} ran");
             lost += 1;
         } else {
@@ -80,7 +80,7 @@
 async fn invalid_store_entries_do_not_affect_valid_ones() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
     let mut flows = open_flows(&fleet, 8).await?;
-    fleet.leave_foreign_entries();
+    fleet.write_foreign_entries();
     fleet.configure(&[(443, &[("dispatch", 1)])]);
     wait_for_version(&fleet, fleet.version(), "a version written after the invalid entries")
         .await?;
--- a/crates/weirhinge/tests/store_restored.rs
+++ b/crates/weirhinge/tests/store_restored.rs
@@ -31,15 +31,15 @@
 /// Restores the store from a backup that lacks its latest writes, all of which every balancer
 /// has seen.
 async fn lose_writes(fleet: &mut Fleet) -> eyre::Result<()> {
-    let backup = fleet.store.copy();
+    let backup = fleet.store.backup();
     for _ in 0..LOST_WRITES {
         write_version(fleet);
     }
     wait_for_version(fleet, fleet.version(), "the versions that the backup lacks").await?;
-    fleet.store.fail(StoreFault::Reset);
+    fleet.store.set_fault(StoreFault::Reset);
     tokio::time::sleep(OUTAGE).await;
     fleet.store.restore(backup);
-    fleet.store.fail(StoreFault::None);
+    fleet.store.set_fault(StoreFault::None);
     Ok(())
 }
 
--- a/crates/weirhinge/tests/support/mod.rs
+++ b/crates/weirhinge/tests/support/mod.rs
@@ -22,7 +22,7 @@
         balancers: 3,
         targets: vec!["dispatch", "dispatch", "dispatch", "sheets"],
         target_zones: Vec::new(),
-        hash: RouterHash::Mod,
+        hash: RouterHash::Modulo,
         processor_shares: Vec::new(),
     }
 }
@@ -56,7 +56,7 @@
     let route = Fleet::route(443);
     for _ in 0..1_000 {
         let flow = open_flow(fleet).await?;
-        if fleet.routers.pick(flow.source(), route) == Some(fleet.packets(balancer)) {
+        if fleet.routers.pick(flow.source(), route) == Some(fleet.packet_address(balancer)) {
             return Ok(flow);
         }
     }
@@ -82,15 +82,15 @@
 pub fn lose_all_flows(fleet: &Fleet) {
     for target in &fleet.targets {
         target.crash();
-        target.revive();
+        target.recover();
     }
 }
 
 /// Checks that no client or target received a packet with an invalid checksum.
 pub fn assert_no_corrupted_packets(fleet: &Fleet) {
-    assert_eq!(fleet.client.forged(), 0);
+    assert_eq!(fleet.client.corrupted_packets(), 0);
     for target in &fleet.targets {
-        assert_eq!(target.forged(), 0);
+        assert_eq!(target.corrupted_packets(), 0);
     }
 }
 
