--- a/crates/weirhinge/src/cli/agent.rs
+++ b/crates/weirhinge/src/cli/agent.rs
@@ -4,7 +4,7 @@
 use weirhinge_agent::Plant;
 
 use super::CliFailure;
-use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
+use super::daemon::{COMMON_OPTIONS, print_ready, read_flag, read_options, run_daemon};
 
 const USAGE: &str = "\
 weirhinge agent: run next to one back end and terminate its flows
@@ -26,13 +26,13 @@
         print!("{USAGE}{COMMON_OPTIONS}");
         return Ok(());
     }
-    let plant: Option<Plant> = option(&mut arguments, "--plant")?;
+    let plant: Option<Plant> = read_flag(&mut arguments, "--plant")?;
     let options = read_options(arguments, |arguments, flags| {
-        flags.target = option(arguments, "--target")?;
-        flags.fabric = option(arguments, "--fabric")?;
-        flags.half_open_limit = option(arguments, "--half-open-limit")?;
-        flags.candidates = option(arguments, "--candidates")?;
-        flags.stop_deadline_seconds = option(arguments, "--stop-deadline-seconds")?;
+        flags.target = read_flag(arguments, "--target")?;
+        flags.fabric = read_flag(arguments, "--fabric")?;
+        flags.half_open_limit = read_flag(arguments, "--half-open-limit")?;
+        flags.candidates = read_flag(arguments, "--candidates")?;
+        flags.stop_deadline_seconds = read_flag(arguments, "--stop-deadline-seconds")?;
         Ok(())
     })?;
     let settings = options.settings.into_agent(&options.origin).map_err(CliFailure::usage)?;
--- a/crates/weirhinge/src/cli/balancer.rs
+++ b/crates/weirhinge/src/cli/balancer.rs
@@ -3,7 +3,7 @@
 use pico_args::Arguments;
 
 use super::CliFailure;
-use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
+use super::daemon::{COMMON_OPTIONS, print_ready, read_flag, read_options, run_daemon};
 
 const USAGE: &str = "\
 weirhinge balancer: forward packets from the fabric to agents
@@ -26,10 +26,10 @@
         return Ok(());
     }
     let options = read_options(arguments, |arguments, flags| {
-        flags.batch = option(arguments, "--batch")?;
-        flags.control = option(arguments, "--control")?;
-        flags.api = option(arguments, "--api")?;
-        flags.peers = option(arguments, "--peers")?;
+        flags.batch = read_flag(arguments, "--batch")?;
+        flags.control = read_flag(arguments, "--control")?;
+        flags.api = read_flag(arguments, "--api")?;
+        flags.peers = read_flag(arguments, "--peers")?;
         flags.found_group = arguments.contains("--found-group").then_some(true);
         Ok(())
     })?;
--- a/crates/weirhinge/src/cli/client.rs
+++ b/crates/weirhinge/src/cli/client.rs
@@ -11,7 +11,7 @@
 use weirhinge_document_source::{Answer, CONFIGURATION_PATH, send};
 
 use super::CliFailure;
-use super::daemon::{option, reject_remaining};
+use super::daemon::{read_flag, reject_remaining};
 
 /// Help text of the operator commands.
 pub const USAGE: &str = "\
@@ -51,13 +51,13 @@
         print!("{USAGE}");
         return Ok(());
     }
-    let api = option(&mut arguments, "--api")?.ok_or_else(|| {
+    let api = read_flag(&mut arguments, "--api")?.ok_or_else(|| {
         CliFailure::usage("--api: expected the address of a balancer's API, such as 127.0.0.1:7002")
     })?;
     let client = ApiClient {
         api,
-        key: option(&mut arguments, "--key")?,
-        revision: option(&mut arguments, "--revision")?,
+        key: read_flag(&mut arguments, "--key")?,
+        revision: read_flag(&mut arguments, "--revision")?,
     };
     let operand = match command {
         "apply" | "drain" | "activate" => Some(read_operand(command, &mut arguments)?),
--- a/crates/weirhinge/src/cli/daemon.rs
+++ b/crates/weirhinge/src/cli/daemon.rs
@@ -44,14 +44,14 @@
     mut arguments: Arguments,
     read_role_options: impl FnOnce(&mut Arguments, &mut RawSettings) -> Result<(), CliFailure>,
 ) -> Result<DaemonOptions, CliFailure> {
-    let file: Option<String> = option(&mut arguments, "--settings")?;
+    let file: Option<String> = read_flag(&mut arguments, "--settings")?;
     let mut flags = RawSettings {
-        name: option(&mut arguments, "--name")?,
-        zone: option(&mut arguments, "--zone")?,
-        listen: option(&mut arguments, "--listen")?,
-        admin: option(&mut arguments, "--admin")?,
-        platform: option(&mut arguments, "--platform")?,
-        keys_file: option(&mut arguments, "--keys-file")?,
+        name: read_flag(&mut arguments, "--name")?,
+        zone: read_flag(&mut arguments, "--zone")?,
+        listen: read_flag(&mut arguments, "--listen")?,
+        admin: read_flag(&mut arguments, "--admin")?,
+        platform: read_flag(&mut arguments, "--platform")?,
+        keys_file: read_flag(&mut arguments, "--keys-file")?,
         ..RawSettings::default()
     };
     read_role_options(&mut arguments, &mut flags)?;
@@ -70,10 +70,10 @@
 
 fn read_log_options(arguments: &mut Arguments) -> Result<LogOptions, CliFailure> {
     let mut options = LogOptions::default();
-    if let Some(format) = option::<LogFormat>(arguments, "--log-format")? {
+    if let Some(format) = read_flag::<LogFormat>(arguments, "--log-format")? {
         options.format = format;
     }
-    if let Some(level) = option::<String>(arguments, "--log-level")? {
+    if let Some(level) = read_flag::<String>(arguments, "--log-level")? {
         options.level = level.parse().map_err(|()| {
             CliFailure::usage(format!(
                 "--log-level {level:?}: expected critical, error, warning, info, debug or trace"
@@ -84,7 +84,7 @@
 }
 
 /// Reads an optional flag with a value.
-pub fn option<T>(arguments: &mut Arguments, name: &'static str) -> Result<Option<T>, CliFailure>
+pub fn read_flag<T>(arguments: &mut Arguments, name: &'static str) -> Result<Option<T>, CliFailure>
 where
     T: std::str::FromStr,
     T::Err: std::fmt::Display,
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -9,7 +9,7 @@
 use weirhinge_observe::{Story, StoryLine, Subject};
 
 use super::CliFailure;
-use super::daemon::option;
+use super::daemon::read_flag;
 use super::log_files::read_file_names;
 
 const USAGE: &str = "\
@@ -59,9 +59,9 @@
 }
 
 fn read_subject(arguments: &mut Arguments) -> Result<Subject, CliFailure> {
-    let request: Option<String> = option(arguments, "--request")?;
-    let flow: Option<String> = option(arguments, "--flow")?;
-    let node: Option<String> = option(arguments, "--node")?;
+    let request: Option<String> = read_flag(arguments, "--request")?;
+    let flow: Option<String> = read_flag(arguments, "--flow")?;
+    let node: Option<String> = read_flag(arguments, "--node")?;
     match (request, flow, node) {
         (Some(id), None, None) => Ok(Subject::Request(id)),
         (None, Some(flow), None) => Ok(Subject::Flow(flow)),
--- a/crates/weirhinge/src/cli/relay.rs
+++ b/crates/weirhinge/src/cli/relay.rs
@@ -7,7 +7,7 @@
 use weirhinge_relay::{ProcessLog, RawSettings, Signals, run_agent, run_balancer, run_process};
 
 use super::CliFailure;
-use super::daemon::{option, reject_remaining};
+use super::daemon::{read_flag, reject_remaining};
 
 const USAGE: &str = "\
 weirhinge relay: run on a platform whose targets terminate flows themselves
@@ -32,7 +32,7 @@
         return Ok(());
     }
     let role = arguments.subcommand().map_err(CliFailure::usage)?;
-    let file: Option<String> = option(&mut arguments, "--settings")?;
+    let file: Option<String> = read_flag(&mut arguments, "--settings")?;
     let level = read_level(&mut arguments)?;
     reject_remaining(arguments)?;
     let file = file.or_else(|| std::env::var(SETTINGS_VARIABLE).ok()).ok_or_else(|| {
@@ -74,7 +74,7 @@
 }
 
 fn read_level(arguments: &mut Arguments) -> Result<Level, CliFailure> {
-    let Some(text) = option::<String>(arguments, "--log-level")? else { return Ok(Level::Info) };
+    let Some(text) = read_flag::<String>(arguments, "--log-level")? else { return Ok(Level::Info) };
     text.parse().map_err(|()| {
         CliFailure::usage(format!(
             "--log-level {text:?}: expected critical, error, warning, info, debug or trace"
--- a/crates/weirhinge/src/cli/timeline.rs
+++ b/crates/weirhinge/src/cli/timeline.rs
@@ -11,7 +11,7 @@
 };
 
 use super::CliFailure;
-use super::daemon::option;
+use super::daemon::read_flag;
 use super::log_files::read_file_names;
 
 /// Prints a report of what a fleet did over time, from its logs.
@@ -31,7 +31,7 @@
 
 fn read_options(arguments: &mut Arguments) -> Result<TimelineOptions, CliFailure> {
     let default = TimelineOptions::default();
-    let every_ms = option(arguments, "--every")?.unwrap_or(default.every_ms);
+    let every_ms = read_flag(arguments, "--every")?.unwrap_or(default.every_ms);
     if every_ms < 1 {
         return Err(CliFailure::usage(format!(
             "argument --every: found {every_ms}, expected at least 1 millisecond"
@@ -40,9 +40,9 @@
     let milliseconds = |value: Option<f64>| value.map(|seconds| (seconds * 1_000.0) as i64);
     Ok(TimelineOptions {
         every_ms,
-        node: option(arguments, "--node")?.unwrap_or_default(),
-        from_ms: milliseconds(option(arguments, "--from")?).unwrap_or(default.from_ms),
-        to_ms: milliseconds(option(arguments, "--to")?).unwrap_or(default.to_ms),
+        node: read_flag(arguments, "--node")?.unwrap_or_default(),
+        from_ms: milliseconds(read_flag(arguments, "--from")?).unwrap_or(default.from_ms),
+        to_ms: milliseconds(read_flag(arguments, "--to")?).unwrap_or(default.to_ms),
     })
 }
 
@@ -149,7 +149,7 @@
     let OpeningCounts { served, waited, refused, refused_after_wait } = openings;
     let refused_at_once = refused - refused_after_wait;
     format!(
-        "{served} served, {waited} waited, {refused_at_once} refused at once, {refused_after_wait} after \
-         a wait"
+        "{served} served, {waited} waited, {refused_at_once} refused at once, \
+         {refused_after_wait} after a wait"
     )
 }
--- a/crates/weirhinge/tests/platform_path.rs
+++ b/crates/weirhinge/tests/platform_path.rs
@@ -8,8 +8,8 @@
 
 use nix::sys::signal::Signal;
 use support::{
-    DEADLINE, METRICS, assert_no_corrupted_packets, check_flows_kept, lose_all_flows, open_flow,
-    open_flow_through, open_flows, plan, request, start, wait_for_version,
+    METRICS_PORT, REQUEST_TIMEOUT, assert_no_corrupted_packets, check_flows_kept, lose_all_flows,
+    open_flow, open_flow_through, open_flows, plan, request, start, wait_for_version,
 };
 use weirhinge_platform_standins::{
     Fleet, FleetPlan, FlowError, HOME_ZONE, NEAR_ZONE, ProcessHandle, RouterHash, StoreFault,
@@ -217,8 +217,8 @@
     let (mut flow, _) = open_flows(&fleet, 1).await?.remove(0);
     lose_all_flows(&fleet);
     let began = Instant::now();
-    assert_eq!(flow.request("lost", DEADLINE).await, Err(FlowError::Reset));
-    assert!(began.elapsed() < DEADLINE);
+    assert_eq!(flow.request("lost", REQUEST_TIMEOUT).await, Err(FlowError::Reset));
+    assert!(began.elapsed() < REQUEST_TIMEOUT);
     Ok(())
 }
 
@@ -249,7 +249,7 @@
     std::fs::write(&fleet.balancers[0].settings, seeds)?;
     fleet.wait_for("new seeds", |fleet| balancer_logged(fleet, "\"outcome\":\"applied\"")).await?;
     let address = IpAddr::V4(fleet.balancers[0].address);
-    let metrics = http_get(address, METRICS, "/metrics").await?;
+    let metrics = http_get(address, METRICS_PORT, "/metrics").await?;
     for name in [
         "weirhinge_packets_forwarded_total",
         "weirhinge_decision_seconds_bucket",
@@ -259,8 +259,10 @@
         assert!(metrics.contains(name), "no {name} in {metrics}");
     }
     let agent = IpAddr::V4(fleet.agents[0].address);
-    assert!(http_get(agent, METRICS, "/metrics").await?.contains("weirhinge_packets_delivered"));
-    assert!(http_get(agent, METRICS, "/elsewhere").await?.starts_with("HTTP/1.1 404"));
+    assert!(
+        http_get(agent, METRICS_PORT, "/metrics").await?.contains("weirhinge_packets_delivered")
+    );
+    assert!(http_get(agent, METRICS_PORT, "/elsewhere").await?.starts_with("HTTP/1.1 404"));
     fleet.agents[0].signal(Signal::SIGTERM)?;
     assert!(fleet.agents[0].wait_for_exit().await?.success());
     let log = fleet.agents[0].log_text()?;
@@ -293,7 +295,7 @@
     let fleet = start(&plan()).await?;
     let (mut flow, _) = open_flows(&fleet, 1).await?.remove(0);
     lose_all_flows(&fleet);
-    assert_eq!(flow.request("failed-7", DEADLINE).await, Err(FlowError::Reset));
+    assert_eq!(flow.request("failed-7", REQUEST_TIMEOUT).await, Err(FlowError::Reset));
     tokio::time::sleep(Duration::from_millis(500)).await;
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_weirhinge"))
         .args(["explain", "--request", "failed-7"])
@@ -330,7 +332,7 @@
     }
     assert!(began.elapsed() < Duration::from_secs(60));
     let address = IpAddr::V4(fleet.balancers[0].address);
-    let metrics = http_get(address, METRICS, "/metrics").await?;
+    let metrics = http_get(address, METRICS_PORT, "/metrics").await?;
     let lost = counter(&metrics, "weirhinge_log_lines_lost_total");
     assert!(lost.is_some_and(|lost| lost > 0), "{metrics}");
     fleet.balancers[0].signal(Signal::SIGTERM)?;
--- a/crates/weirhinge/tests/platform_store.rs
+++ b/crates/weirhinge/tests/platform_store.rs
@@ -6,16 +6,15 @@
 use std::time::Duration;
 
 use support::{
-    DEADLINE, METRICS, PEERS, READINESS, check_flows_kept, open_flow, open_flows, plan, request,
-    start, wait_for_version,
+    METRICS_PORT, PEER_PORT, READINESS_PORT, REQUEST_TIMEOUT, check_flows_kept, open_flow,
+    open_flows, plan, request, start, wait_for_version,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use weirhinge_platform_standins::{LinkFault, StoreFault};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn restarted_balancers_get_store_data_from_agents_while_the_store_is_down() -> eyre::Result<()>
-{
+async fn restarted_balancers_get_store_data_from_agents() -> eyre::Result<()> {
     let mut fleet = start(&plan()).await?;
     let mut flows = open_flows(&fleet, 10).await?;
     fleet
@@ -99,7 +98,7 @@
 /// Waits until the daemon closes the connection, without sending anything.
 async fn wait_for_close(mut stream: TcpStream) -> eyre::Result<()> {
     let mut received = Vec::new();
-    let read = tokio::time::timeout(3 * DEADLINE, stream.read_to_end(&mut received)).await;
+    let read = tokio::time::timeout(3 * REQUEST_TIMEOUT, stream.read_to_end(&mut received)).await;
     read.map_err(|_| eyre::eyre!("the daemon did not close the connection"))??;
     Ok(())
 }
@@ -108,11 +107,11 @@
 async fn idle_client_connections_are_closed() -> eyre::Result<()> {
     let fleet = start(&plan()).await?;
     let address = IpAddr::V4(fleet.balancers[0].address);
-    for port in [METRICS, READINESS, PEERS] {
+    for port in [METRICS_PORT, READINESS_PORT, PEER_PORT] {
         let idle = TcpStream::connect((address, port)).await?;
         wait_for_close(idle).await?;
     }
-    for (port, path) in [(METRICS, "/metrics"), (READINESS, "/readiness")] {
+    for (port, path) in [(METRICS_PORT, "/metrics"), (READINESS_PORT, "/readiness")] {
         let mut kept_alive = TcpStream::connect((address, port)).await?;
         let request = format!("GET {path} HTTP/1.1\r\nhost: {address}\r\n\r\n");
         kept_alive.write_all(request.as_bytes()).await?;
--- a/crates/weirhinge/tests/pressure.rs
+++ b/crates/weirhinge/tests/pressure.rs
@@ -10,13 +10,14 @@
     Fleet, FleetPlan, RouterHash, SETTINGS_TEMPLATE, counter, http_get,
 };
 
-const METRICS: u16 = 9_464;
-const DEADLINE: Duration = Duration::from_secs(15);
+const METRICS_PORT: u16 = 9_464;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 /// Index of the balancer with the small processor share.
 const SMALL: usize = 0;
 /// Index of the balancer with the large processor share.
 const LARGE: usize = 1;
-/// Packets that reach the balancer at once, far more than it handles in one iteration of its receive loop.
+/// Packets that reach the balancer at once, far more than it handles in one iteration of its
+/// receive loop.
 const BURST_PACKETS: u16 = 200;
 /// Time in which the balancer receives the burst but cannot handle all of it.
 const RECEIVE_TIME: Duration = Duration::from_millis(1);
@@ -28,7 +29,7 @@
 /// Reads a counter of a balancer's metrics.
 async fn read_counter(fleet: &Fleet, balancer: usize, name: &str) -> eyre::Result<u64> {
     let address = IpAddr::V4(fleet.balancers[balancer].address);
-    let metrics = http_get(address, METRICS, "/metrics").await?;
+    let metrics = http_get(address, METRICS_PORT, "/metrics").await?;
     counter(&metrics, name).ok_or_else(|| eyre::eyre!("no {name} in {metrics}"))
 }
 
@@ -61,7 +62,7 @@
     for number in 0..20 {
         let opened = fleet.client.open(Fleet::route(443)).await;
         let mut flow = opened.map_err(|error| eyre::eyre!("open: {error:?}"))?;
-        let answered = flow.request(&format!("first-{number}"), DEADLINE).await;
+        let answered = flow.request(&format!("first-{number}"), REQUEST_TIMEOUT).await;
         let server = answered.map_err(|error| eyre::eyre!("request: {error:?}"))?;
         flows.push((flow, server));
     }
@@ -79,7 +80,7 @@
     // The large balancer never hands packets to the small one.
     assert_eq!(read_counter(&fleet, LARGE, "weirhinge_packets_handed_off_total").await?, 0);
     for (number, (flow, server)) in flows.iter_mut().enumerate() {
-        let answered = flow.request(&format!("second-{number}"), DEADLINE).await;
+        let answered = flow.request(&format!("second-{number}"), REQUEST_TIMEOUT).await;
         let answered = answered.map_err(|error| eyre::eyre!("request: {error:?}"))?;
         eyre::ensure!(answered == *server, "flow {number} moved from {server} to {answered}");
     }
--- a/crates/weirhinge/tests/restarted_targets.rs
+++ b/crates/weirhinge/tests/restarted_targets.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use support::{
-    DEADLINE, assert_no_corrupted_packets, check_flows_kept, open_flow, open_flows, plan, request,
-    start, wait_for_version,
+    REQUEST_TIMEOUT, assert_no_corrupted_packets, check_flows_kept, open_flow, open_flows, plan,
+    request, start, wait_for_version,
 };
 use weirhinge_platform_standins::Fleet;
 
@@ -35,7 +35,7 @@
     let mut lost = 0;
     for (number, (mut flow, server)) in flows.into_iter().enumerate() {
         let id = format!("second-{number}");
-        let answered = flow.request(&id, DEADLINE).await;
+        let answered = flow.request(&id, REQUEST_TIMEOUT).await;
         if server == restarted {
             // The client gets a reset at once, and no target runs the request.
             assert!(answered.is_err(), "flow {number} continues at a target that lost it");
@@ -69,7 +69,7 @@
     assert!(!lost.is_empty(), "no flow was opened at the target");
     fleet.targets[0].restart();
     for (flow, _) in &mut lost {
-        assert!(flow.is_reset_within(DEADLINE).await, "{} got no reset", flow.source());
+        assert!(flow.is_reset_within(REQUEST_TIMEOUT).await, "{} got no reset", flow.source());
     }
     check_flows_kept(&mut kept, "during a restart").await?;
     assert_no_corrupted_packets(&fleet);
--- a/crates/weirhinge/tests/support/mod.rs
+++ b/crates/weirhinge/tests/support/mod.rs
@@ -8,13 +8,13 @@
 use weirhinge_platform_standins::{ClientFlow, Fleet, FleetPlan, RouterHash, SETTINGS_TEMPLATE};
 
 /// Request timeout, long enough for several retries on a busy machine.
-pub const DEADLINE: Duration = Duration::from_secs(15);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 /// Metrics port of every machine.
-pub const METRICS: u16 = 9_464;
+pub const METRICS_PORT: u16 = 9_464;
 /// Readiness port of every machine.
-pub const READINESS: u16 = 8_167;
+pub const READINESS_PORT: u16 = 8_167;
 /// Port on which daemons accept connections from each other.
-pub const PEERS: u16 = 7_720;
+pub const PEER_PORT: u16 = 7_720;
 
 /// Three balancers and four targets, of which the last serves another service.
 pub fn plan() -> FleetPlan {
@@ -65,7 +65,7 @@
 
 /// Sends a request on a flow. Returns the name of the target that answered.
 pub async fn request(flow: &mut ClientFlow, id: &str) -> eyre::Result<String> {
-    let answered = flow.request(id, DEADLINE).await;
+    let answered = flow.request(id, REQUEST_TIMEOUT).await;
     answered.map_err(|error| eyre::eyre!("request {id}: {error:?}"))
 }
 
