--- a/crates/agent/src/back_end.rs
+++ b/crates/agent/src/back_end.rs
@@ -1,4 +1,4 @@
-//! The edge towards the back end: one plain connection per flow.
+//! Connections to the back end: one plain TCP connection or connected UDP socket per flow.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,10 +12,11 @@
 
 use crate::view::OwnTarget;
 
-/// Longest that a back end may take to accept a connection.
+/// Maximum time for a back end to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Connects to the back end for a TCP flow, before the caller is answered.
+/// Connects to the back end for a TCP flow, before the client's opening packet is answered, so that
+/// a flow whose back end refuses can still be opened elsewhere.
 pub(crate) async fn connect_tcp(
     own: &OwnTarget,
     key: &FlowKey,
--- a/crates/agent/src/carry_out.rs
+++ b/crates/agent/src/carry_out.rs
@@ -1,4 +1,4 @@
-//! Carries out the dispatcher's decisions.
+//! Executes the dispatcher's decisions.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -45,7 +45,7 @@
                 }
             }
             (Dispatch::Abandon(key), _) => {
-                // Its task ends silently when its queue is gone.
+                // The flow's task ends without a reset once its queue is closed.
                 self.dispatcher.flows.release(&key);
             }
             (Dispatch::Ask { query, agents }, _) => self.ask(query, &agents),
@@ -111,7 +111,8 @@
         }
     }
 
-    /// An envelope as if the packet had been sent here in this way.
+    /// Wraps a packet in an envelope as if it had been sent to this agent with this delivery;
+    /// `None` if the configuration does not contain the agent's target.
     pub(crate) fn own_envelope<'a>(
         &self,
         delivery: Delivery,
@@ -134,8 +135,8 @@
         self.metrics.control_bytes.inc_by(sent as u64);
     }
 
-    /// Sends a message to another agent; returns the bytes sent. A message that
-    /// the kernel does not take is lost like any other datagram.
+    /// Sends a message to another agent and returns the number of bytes sent. A message that the
+    /// kernel does not accept is lost, as any datagram may be.
     pub(crate) fn send(&mut self, agent: SocketAddr, message: &AgentMessage<'_>) -> usize {
         if encode_into(message, &mut self.envelope).is_err() {
             self.metrics.packets_dropped.increment("encoding");
@@ -150,8 +151,7 @@
         }
     }
 
-    /// Acts in the place of owners and candidates that have not claimed their
-    /// packets.
+    /// Handles opening packets that their owners or candidates have not claimed in time.
     pub(crate) fn act_on_standby(&mut self) {
         while let Some(due) = self.dispatcher.take_due_standby(Instant::now()) {
             self.metrics.standby_acted.inc();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Handles a packet that this agent kept as if it had just come in this way.
+    /// Handles a packet that this agent has kept as if it had just arrived with this delivery.
     pub(crate) fn handle_own(&mut self, delivery: Delivery, packet: &[u8]) {
         if let Some(envelope) = self.own_envelope(delivery, packet) {
             self.handle_message(&AgentMessage::Packet(envelope));
--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -1,4 +1,4 @@
-//! Decisions about later packets: who holds a flow that is not open here.
+//! Decisions about packets of flows that are not open here: which agent holds the flow.
 
 use std::time::{Duration, Instant};
 
@@ -10,16 +10,16 @@
 use super::{Announcement, Arrival, Dispatch, Dispatcher, MAXIMUM_HOPS, PassOn, reset};
 use crate::plant::Plant;
 
-/// How long after a change of configuration a UDP flow may have another holder;
-/// the idle time-out of UDP flows.
+/// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
+/// have its previous holder.
 pub const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A flow that is still opening this long after its admission may have been won
-/// by another agent: then the others are asked.
+/// A flow that is still half-open this long after its admission may be open at another agent, so the
+/// other agents are queried.
 const SUSPICIOUS_OPENING: Duration = Duration::from_millis(500);
 
 impl<H> Dispatcher<H> {
-    /// A packet of a flow that is opening here. The caller may have taken up
-    /// another agent's answer instead; then its packets belong there.
+    /// Handles a packet of a flow that is half-open here. The client may have taken up another
+    /// agent's answer instead; then its packets belong to that agent.
     pub(super) fn deliver_to_opening(&mut self, arrival: &Arrival<'_>, age: Duration) -> Dispatch {
         let key = arrival.view.key;
         let opens = arrival.view.tcp().is_some_and(TcpSegment::opens_flow);
@@ -28,7 +28,7 @@
         }
         let suspicious = age >= SUSPICIOUS_OPENING || self.directory.has_claim(&key);
         if !suspicious {
-            // Another agent's claim may still be on its way.
+            // Another agent's claim may still arrive.
             self.directory.buffer_for_claimants(&key, arrival.envelope.packet, arrival.now);
             return Dispatch::Deliver(key);
         }
@@ -41,8 +41,8 @@
         Dispatch::Several(vec![Dispatch::Deliver(key), further])
     }
 
-    /// Notes that the handshake of a flow held here is complete. Packets without
-    /// timestamps carry no hint and go to the bucket's owner, which is told.
+    /// Notes that the handshake of a flow held here is complete. Packets without timestamps carry no
+    /// holder hint and go to the bucket's owner, so the owner is notified.
     pub fn opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
         self.flows.mark_open(key, has_timestamps);
         self.directory.forget(key);
@@ -52,7 +52,7 @@
         self.announcement(key, Holding::Open)
     }
 
-    /// What to tell the owner of the flow's bucket, if that is another agent.
+    /// Returns the announcement for the owner of the flow's bucket, if that is another agent.
     pub(super) fn announcement(&self, key: &FlowKey, holding: Holding) -> Option<Announcement> {
         self.announcement_to(self.owner(key)?, key, holding)
     }
@@ -77,7 +77,7 @@
         Some(HolderAnswer { service, from: self.own_target.0, revision, flow, holding })
     }
 
-    /// A later packet of a TCP flow that is not held here.
+    /// Handles a packet, not an opening one, of a TCP flow that is not held here.
     pub(super) fn unknown_tcp(&mut self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Dispatch {
         if self.flows.is_quarantined(&arrival.view.key, arrival.now) {
             return reset(&arrival.view.key, segment, "ended_flow");
@@ -101,16 +101,17 @@
         }
     }
 
-    /// The owner of a flow whose numbers name this agent though it does not hold the flow,
-    /// as those of a long flow come to: the owner knows the holder, or asks.
+    /// Returns the owner of a flow whose sequence numbers name this agent although it does not hold
+    /// the flow. The numbers of a long flow advance until they name another target. The owner knows
+    /// the holder or queries for it.
     fn owner_of_misnamed(&self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Option<TargetId> {
         let by_number =
             arrival.envelope.delivery == Delivery::Hinted && segment.timestamp_echo.is_none();
         self.owner(&arrival.view.key).filter(|&owner| by_number && owner != self.own_target)
     }
 
-    /// Another agent believes that the flow is held here: the bucket's owner, as
-    /// a rule, is told that it is not.
+    /// Answers a forwarded packet whose flow is not held here. Another agent, as a rule the bucket's
+    /// owner, assumes that it is; the owner is notified that it is not.
     pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Dispatch {
         match self.announcement(&arrival.view.key, Holding::Not) {
             Some(Announcement { agent, answer }) => Dispatch::Answer { agent, answer },
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A packet of a UDP flow that is not held here, first or later.
+    /// Handles a packet of a UDP flow that is not held here, whether the flow is new or not.
     pub(super) fn unknown_udp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
@@ -156,7 +157,7 @@
         self.directory.locate(&arrival.view.key, &others, arrival.envelope.packet, arrival.now)
     }
 
-    /// The service's other targets, draining ones too.
+    /// Returns the service's other targets, including draining ones.
     pub(super) fn others(&self) -> Vec<TargetId> {
         let members = self.view.own_service().map_or(&[][..], |service| &service.members);
         members.iter().copied().filter(|&member| member != self.own_target).collect()
@@ -193,8 +194,8 @@
         Dispatch::Several(vec![self.forward(arrival, holders), self.ask(arrival)])
     }
 
-    /// Whether somebody has shown a newer revision than the one in force here:
-    /// then a target may exist that this agent does not know to ask.
+    /// Whether a message has shown a newer revision than the one in effect here. Then a target may
+    /// exist that this agent does not know and therefore cannot query.
     pub(super) fn is_stale(&self) -> bool {
         self.newest_seen > self.view.table.revision()
     }
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Sends held packets on to the agent that has their flow, if there are any.
+    /// Decides to send buffered packets, if there are any, to the agent that holds their flow.
     fn release(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Dispatch> {
         if packets.is_empty() {
             return None;
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
 //! Decides what to do with each message that reaches an agent.
 //!
-//! Pure logic: messages, loads and time are passed in, and every outcome is a
-//! value of [`Dispatch`] that [`crate::run`] carries out.
+//! The decisions are pure logic: messages, loads and time are arguments, and each outcome is a
+//! [`Dispatch`] value that [`crate::run`] executes.
 
 mod holders;
 mod opening;
@@ -21,93 +21,93 @@
 
 pub use holders::UDP_IDLE_TIMEOUT;
 
-/// How long a flow's key rests after its end: a packet of its last use has
-/// arrived or been lost by then.
+/// How long a flow's key stays quarantined after the flow has ended. By then every packet of the
+/// flow has arrived or is lost.
 pub const QUARANTINE: Duration = Duration::from_secs(30);
-/// How long a repeated opening packet is taken for a copy of the one that was
-/// just passed on. Shorter than TCP's first retransmission (1 s), which must
-/// start a new chain in case the first was lost.
+/// Time within which a second opening packet counts as a duplicate of the one just passed on.
+/// Shorter than TCP's first retransmission timeout (1 s): a retransmission must start a new chain
+/// of offers, as the first chain may be lost.
 const REPEATED_OFFER: Duration = Duration::from_millis(500);
-/// Most opening packets remembered as passed on.
+/// Maximum number of opening packets remembered as passed on.
 const REPEATED_OFFER_CAPACITY: usize = 8_192;
-/// How long a back end that took no connection gets no new flow.
+/// How long a back end that accepted no connection gets no new flows.
 const SUSPECT_TIME: Duration = Duration::from_secs(1);
-/// Most agents that one packet passes.
+/// Maximum number of times that a packet is passed on between agents.
 const MAXIMUM_HOPS: u8 = 12;
 
-/// What to do with a message.
+/// The decision about a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dispatch {
-    /// Hand the packet to the flow, which is held here.
+    /// Deliver the packet to its flow, which this agent holds.
     Deliver(FlowKey),
     /// Open the flow here with this packet.
     Open {
         /// The flow.
         key: FlowKey,
-        /// Other agents to tell, which may meet the flow's packets.
+        /// Claims for the owner and the standby owner, which may receive the flow's packets.
         announce: Vec<Announcement>,
     },
-    /// Send the packet to other agents: one, or all that claim its flow.
+    /// Send the packet to another agent, or to all agents that claim its flow.
     PassOn(Vec<PassOn>),
-    /// Do several of these with the packet.
+    /// Execute several decisions about the same packet.
     Several(Vec<Dispatch>),
-    /// Give up the flow that is opening here: another agent has it.
+    /// Abandon the flow that is half-open here: another agent has it open.
     Abandon(FlowKey),
-    /// Ask other agents who holds a flow; the packet is held back.
+    /// Ask other agents which of them holds a flow; the packet is buffered meanwhile.
     Ask {
-        /// The question.
+        /// The query.
         query: HolderQuery,
-        /// Whom to ask.
+        /// Addresses of the agents to query.
         agents: Vec<SocketAddr>,
     },
-    /// Answer another agent's question.
+    /// Send a holder answer to another agent.
     Answer {
-        /// Who asked.
+        /// Address of the agent that receives the answer.
         agent: SocketAddr,
         /// The answer.
         answer: HolderAnswer,
     },
-    /// Refuse or end the flow by this packet to the caller.
+    /// Refuse or end the flow by sending a reset to the client.
     Reset {
-        /// The reset packet.
+        /// The reset packet for the client.
         packet: Vec<u8>,
-        /// Why, as it appears in metrics.
+        /// The reason's name in metrics.
         reason: &'static str,
     },
-    /// Nothing to do: an answer was taken in.
+    /// Nothing to do: the message has been recorded or queued.
     Learned,
-    /// Send packets that were held back on to the flow's holder.
+    /// Send buffered packets to the flow's holder.
     Release {
-        /// The packets.
+        /// The buffered packets, oldest first.
         packets: Vec<Vec<u8>>,
-        /// The holder.
+        /// The holder's agent.
         pass_on: PassOn,
     },
-    /// Drop the packet for this reason, as it appears in metrics.
+    /// Drop the message; the value is the reason's name in metrics.
     Drop(&'static str),
 }
 
-/// Tells the owner of a flow's bucket that the flow is held elsewhere.
+/// Tells another agent, as a rule the owner of a flow's bucket, whether this agent holds the flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The owner's agent.
+    /// Address of the agent to notify.
     pub agent: SocketAddr,
-    /// What to tell.
+    /// The answer to send.
     pub answer: HolderAnswer,
 }
 
-/// A packet's way to the next agent.
+/// The agent that a packet is passed on to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PassOn {
     /// The next agent's address.
     pub agent: SocketAddr,
     /// The next agent's target.
     pub target: TargetId,
-    /// How the packet is delivered there.
+    /// Why the packet is sent there.
     pub delivery: Delivery,
 }
 
-/// One opening or unknown packet under decision.
+/// A packet to decide about, with the state that the decision depends on.
 struct Arrival<'a> {
     envelope: &'a PacketEnvelope<'a>,
     view: &'a PacketView<'a>,
@@ -116,34 +116,34 @@
     now: Instant,
 }
 
-/// The agent's decisions and everything that they rest on. `H` is the handle
-/// by which the caller reaches a flow.
+/// Decides about messages; holds all state that the decisions depend on. `H` is the caller's handle
+/// of a flow.
 #[derive(Debug)]
 pub struct Dispatcher<H> {
     own_target: TargetId,
     candidates: u8,
     view: AgentView,
-    /// Flows held here.
+    /// Flows that this agent holds.
     pub flows: FlowTable<H>,
     directory: HolderDirectory,
     standby: StandbyQueue,
-    /// Opening packets that this agent has offered to candidates.
+    /// Opening packets that this agent has offered to candidates and that may stay unclaimed.
     offered: StandbyQueue,
     passed_on: ExpiringSet<FlowKey>,
     started: Instant,
     last_change: Instant,
     suspect_until: Option<Instant>,
     stopping: bool,
-    /// Highest revision that any message has shown.
+    /// Highest configuration revision seen in any message.
     newest_seen: u64,
-    /// When the configuration first knew this agent's target.
+    /// When the configuration first contained this agent's target.
     known_since: Option<Instant>,
     plant: Option<Plant>,
 }
 
 impl<H> Dispatcher<H> {
-    /// A dispatcher for the agent beside `own_target` that compares up to
-    /// `candidates` targets for each new flow.
+    /// Creates the dispatcher of the agent of `own_target`, which compares up to `candidates`
+    /// targets for each new flow and holds at most `half_open_limit` half-open flows.
     pub fn new(
         own_target: TargetId,
         candidates: u8,
@@ -170,18 +170,18 @@
         }
     }
 
-    /// The defect planted on purpose, if any.
+    /// Returns the deliberate defect, if any.
     pub fn planted(&self) -> Option<Plant> {
         self.plant
     }
 
-    /// Plants a defect on purpose.
+    /// Enables a deliberate defect.
     pub fn plant(&mut self, plant: Plant) {
         self.plant = Some(plant);
     }
 
-    /// Puts a newer configuration in force. Returns what to tell the new owners
-    /// of open flows whose packets carry no hint.
+    /// Applies a newer configuration. Returns announcements for the new owners of open flows whose
+    /// packets carry no holder hint.
     pub fn apply(&mut self, view: AgentView, now: Instant) -> Vec<Announcement> {
         let previous = std::mem::replace(&mut self.view, view);
         self.last_change = now;
@@ -195,29 +195,29 @@
             .collect()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in effect.
     pub fn view(&self) -> &AgentView {
         &self.view
     }
 
-    /// Begins a planned stop: nothing new is admitted from now on.
+    /// Begins a graceful shutdown: no new flow is admitted from now on.
     pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Notes that the back end took no connection: new flows go elsewhere for a
-    /// while.
+    /// Notes that the back end accepted no connection: new flows are passed on to other targets for
+    /// a short time.
     pub fn suspect_back_end(&mut self, now: Instant) {
         self.suspect_until = Some(now + SUSPECT_TIME);
     }
 
-    /// Forgets what has expired. To be called every few seconds.
+    /// Removes expired entries. Must be called every few seconds.
     pub fn expire(&mut self, now: Instant) {
         self.directory.expire(now);
     }
 
-    /// Decides about one message. `in_flight` is the number of flows that wait
-    /// for an answer at this moment.
+    /// Decides about one message. `in_flight` is the current number of flows that wait for an answer
+    /// of the back end.
     pub fn handle(&mut self, message: &AgentMessage<'_>, in_flight: u32, now: Instant) -> Dispatch {
         self.newest_seen = self.newest_seen.max(message.revision());
         match message {
@@ -262,12 +262,12 @@
         }
     }
 
-    /// The owner of the flow's bucket under this agent's own revision.
+    /// Returns the owner of the flow's bucket under this agent's own revision.
     fn owner(&self, key: &FlowKey) -> Option<TargetId> {
         self.view.owner(key)
     }
 
-    /// The deputy of the flow's bucket under this agent's own revision.
+    /// Returns the standby owner of the flow's bucket under this agent's own revision.
     fn standby_owner(&self, key: &FlowKey) -> Option<TargetId> {
         self.view.standby_owner(key)
     }
@@ -285,7 +285,7 @@
     }
 }
 
-/// Resets a flow, unless the segment is a reset itself: that needs no answer.
+/// Resets a flow, unless the segment is itself a reset, which must not be answered.
 fn reset(key: &FlowKey, segment: &TcpSegment, reason: &'static str) -> Dispatch {
     if segment.reset {
         return Dispatch::Drop("reset_of_unknown_flow");
--- a/crates/agent/src/dispatch/opening.rs
+++ b/crates/agent/src/dispatch/opening.rs
@@ -1,4 +1,4 @@
-//! Decisions about opening packets: who admits a new TCP flow.
+//! Decisions about opening packets: which agent admits a new TCP flow.
 
 use std::time::{Duration, Instant};
 
@@ -12,18 +12,18 @@
 
 use super::{Arrival, Dispatch, Dispatcher, reset};
 
-/// How long a fresh agent's back end takes to reach full speed.
+/// Time after the agent's start until its back end counts as running at full speed.
 const WARM_UP: Duration = Duration::from_secs(10);
-/// How long a target is in the configuration before it takes flows: a change is
-/// in force everywhere by then.
+/// How long a target is in the configuration before it accepts flows. By then the change is in
+/// effect everywhere.
 const JOIN_DELAY: Duration = Duration::from_secs(3);
-/// Thousandths of full speed at which warming up starts.
+/// Speed at which warming up starts, in thousandths of full speed.
 const COLD_WARMTH: u32 = 100;
-/// Thousandths of full speed of a warm back end.
+/// Speed of a warm back end, in thousandths of full speed.
 const FULL_WARMTH: u32 = 1_000;
 
 impl<H> Dispatcher<H> {
-    /// An opening packet of a TCP flow that is not held here.
+    /// Handles an opening packet of a TCP flow that is not held here.
     pub(super) fn open_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         if arrival.envelope.delivery == Delivery::Standby {
             return self.stand_by(arrival);
@@ -31,7 +31,8 @@
         self.offer_tcp(arrival)
     }
 
-    /// The balancer's copy of an opening packet for the bucket's deputy.
+    /// Handles the copy of an opening packet that the balancer sends to the bucket's standby owner.
+    /// The copy is queued, unless the owner is unresponsive or is this agent itself.
     pub(super) fn stand_by(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         let key = arrival.view.key;
         let owner = self.owner(&key).filter(|&owner| owner != self.own_target);
@@ -41,30 +42,30 @@
                 self.standby.push(key, owner, arrival.envelope.packet, arrival.now);
                 Dispatch::Learned
             }
-            // The owner is silent, or this agent is the owner by now.
+            // The owner is unresponsive, or this agent has become the owner.
             _ => self.offer_tcp(arrival),
         }
     }
 
-    /// When the next packet that this agent stands by for falls due.
+    /// Returns when the next queued opening packet (standby copy or offer) is due.
     pub fn next_standby(&self) -> Option<Instant> {
         [self.standby.next_due(), self.offered.next_due()].into_iter().flatten().min()
     }
 
-    /// Takes the next opening packet that its owner has left unclaimed.
+    /// Takes the next due standby copy whose flow no agent has claimed.
     pub fn take_due_standby(&mut self, now: Instant) -> Option<DuePacket> {
         let (directory, flows) = (&self.directory, &mut self.flows);
         self.standby.take_due(now, |key| is_claimed(directory, flows, key, now))
     }
 
-    /// Takes the next opening packet that this agent has offered and that none of
-    /// the candidates has claimed. It is to be handled as [`Delivery::Assigned`].
+    /// Takes the next due opening packet that this agent has offered and whose flow no candidate
+    /// has claimed. The caller must handle it as [`Delivery::Assigned`].
     pub fn take_due_offer(&mut self, now: Instant) -> Option<DuePacket> {
         let (directory, flows) = (&self.directory, &mut self.flows);
         self.offered.take_due(now, |key| is_claimed(directory, flows, key, now))
     }
 
-    /// Offers a new flow to its candidates, or admits it.
+    /// Admits or refuses a new flow, or passes it on to a candidate.
     pub(super) fn offer_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         let first_hop = arrival.envelope.delivery == Delivery::Owner;
         let claim = self.directory.recent_claim(&arrival.view.key, arrival.now);
@@ -92,12 +93,14 @@
         }
     }
 
-    /// Stands by for the candidates of a chain that starts here. An agent on the
-    /// way that cannot be reached swallows the packet, and the deputy's chain
-    /// meets the same agents: without this, the caller's own repetitions, each
-    /// after twice the time, would be lost there too, and its first request would
-    /// inherit their time-out of seconds. Only the owner and the deputy are told
-    /// of claims; what others offer is left to the caller.
+    /// Keeps the opening packet of a chain of offers that starts here, in case no candidate claims
+    /// the flow.
+    ///
+    /// An unreachable agent in the chain loses the packet, and the standby owner's chain visits the
+    /// same agents. Without this queue, the client's retransmissions, each after twice the previous
+    /// delay, would be lost there too, and its first request would inherit their timeout of
+    /// seconds. Only the owner and the standby owner receive claims; for flows offered by other
+    /// agents, the client has to retransmit.
     fn await_candidates(&mut self, arrival: &Arrival<'_>, first: TargetId) {
         let starts_here =
             !matches!(arrival.envelope.delivery, Delivery::Offered(_) | Delivery::Assigned);
@@ -108,9 +111,9 @@
         }
     }
 
-    /// Admits the flow, and claims it with the owner and the deputy of its bucket.
-    /// Claims of others stay known: the caller may take up their answer, and its
-    /// packets then belong to them.
+    /// Admits the flow and announces the claim to the owner and the standby owner of its bucket.
+    /// Claims of other agents stay recorded: the client may take up another claimant's answer, and
+    /// then its packets belong to that claimant.
     pub(super) fn admit(&self, arrival: &Arrival<'_>) -> Dispatch {
         let key = arrival.view.key;
         let (owner, standby_owner) = (self.owner(&key), self.standby_owner(&key));
@@ -143,9 +146,8 @@
         }
     }
 
-    /// Whether the target has been in the configuration for long enough that the
-    /// service's other agents know it: one that does not would take this agent's
-    /// flows for unknown.
+    /// Whether the target has been in the configuration long enough for the service's other agents
+    /// to know it. An agent that does not know it yet would treat this target's flows as unknown.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
         self.known_since.is_some_and(|since| now.saturating_duration_since(since) >= JOIN_DELAY)
     }
@@ -162,8 +164,8 @@
     }
 }
 
-/// Whether somebody has admitted the flow: another agent, which has said so, or
-/// this one, where it may have come to its end already.
+/// Whether an agent has admitted the flow: another agent that has claimed it, or this one, where the
+/// flow may have ended already.
 fn is_claimed<H>(
     directory: &HolderDirectory,
     flows: &mut FlowTable<H>,
--- a/crates/agent/src/fabric.rs
+++ b/crates/agent/src/fabric.rs
@@ -1,5 +1,4 @@
-//! The edge towards the fabric: answers leave as UDP datagrams, each with one
-//! inner packet.
+//! Output to the fabric: packets for clients are sent as UDP datagrams, one inner packet in each.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,12 +7,12 @@
 use weirhinge_observe::Counter;
 use weirhinge_stack::PacketSink;
 
-/// Sends packets to the fabric without waiting.
+/// Sends packets to the fabric without blocking.
 #[derive(Clone, Debug)]
 pub(crate) struct FabricSink {
     pub(crate) socket: Arc<UdpSocket>,
     pub(crate) fabric: SocketAddr,
-    /// Counts packets that the kernel did not take.
+    /// Counts packets that the kernel did not accept.
     pub(crate) unsent: Counter,
 }
 
--- a/crates/agent/src/flow_log.rs
+++ b/crates/agent/src/flow_log.rs
@@ -1,6 +1,6 @@
-//! Debug lines of the decisions about flows, so that a flow's way through the
-//! agents can be followed afterwards. Packets of open flows leave no line, and
-//! no packet is read for a line that is not written.
+//! Debug log lines about decisions, by which a flow's path through the agents can be traced
+//! afterwards. Packets of open flows are not logged. Packets are decoded only if debug lines are
+//! written.
 
 use std::fmt;
 
@@ -12,66 +12,66 @@
 
 use crate::dispatch::Dispatch;
 
-/// Whether the lines are written at all.
+/// Whether debug lines are written.
 pub(crate) fn is_on(log: &Logger) -> bool {
     log.is_debug_enabled()
 }
 
-/// Writes that a packet was handed to a flow that is not open yet.
+/// Logs that a packet was delivered to a half-open flow.
 pub(crate) fn delivered_half_open(log: &Logger, key: &FlowKey, packet: &[u8]) {
     if let Ok(view) = decode_packet(packet) {
-        debug!(log, "agent: Packet for a half-open flow."; "flow" => %key,
+        debug!(log, "agent: Packet delivered to a half-open flow."; "flow" => %key,
             "packet" => %Flags(&view));
     }
 }
 
-/// Writes the line of one message and what was decided about it.
+/// Logs a message and the decision about it.
 pub(crate) fn decided(log: &Logger, message: &AgentMessage<'_>, dispatch: &Dispatch) {
     if matches!(dispatch, Dispatch::Deliver(_)) || !is_on(log) {
         return;
     }
     match message {
         AgentMessage::Packet(envelope) => {
-            // The dispatcher names the reason of a packet that cannot be decoded.
+            // The dispatcher counts a packet that cannot be decoded, with the reason.
             let Ok(view) = decode_packet(envelope.packet) else {
                 return;
             };
-            debug!(log, "agent: Packet decided."; "flow" => %view.key,
+            debug!(log, "agent: Packet dispatched."; "flow" => %view.key,
                 "packet" => %Flags(&view), "delivery" => ?envelope.delivery,
                 "hops" => envelope.hops, "outcome" => %Outcome(dispatch));
         }
         AgentMessage::HolderQuery(HolderQuery { flow, from, .. }) => {
-            debug!(log, "agent: Holder asked for."; "flow" => %FlowKey::from(*flow),
+            debug!(log, "agent: Holder query received."; "flow" => %FlowKey::from(*flow),
                 "from" => from, "outcome" => %Outcome(dispatch));
         }
         AgentMessage::HolderAnswer(HolderAnswer { flow, from, holding, .. }) => {
-            debug!(log, "agent: Holder answered."; "flow" => %FlowKey::from(*flow),
+            debug!(log, "agent: Holder answer received."; "flow" => %FlowKey::from(*flow),
                 "from" => from, "holding" => ?holding, "outcome" => %Outcome(dispatch));
         }
     }
 }
 
-/// Writes that a flow's handshake is complete.
+/// Logs that a flow's handshake is complete.
 pub(crate) fn opened(log: &Logger, key: &FlowKey) {
     debug!(log, "agent: Flow is open."; "flow" => %key);
 }
 
-/// Writes that the back end took no connection for a flow.
+/// Logs that the back end accepted no connection for a flow.
 pub(crate) fn not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
-    debug!(log, "agent: Flow found no back end."; "flow" => %key, "reason" => reason.name());
+    debug!(log, "agent: Flow could not be connected to the back end."; "flow" => %key, "reason" => reason.name());
 }
 
-/// Writes that a flow has ended.
+/// Logs that a flow has ended.
 pub(crate) fn ended(log: &Logger, key: &FlowKey, end: SpliceEnd) {
     debug!(log, "agent: Flow ended."; "flow" => %key, "end" => ?end);
 }
 
-/// Writes that a packet found no room in its flow's queue.
+/// Logs that a packet was dropped because its flow's queue was full or closed.
 pub(crate) fn not_delivered(log: &Logger, key: &FlowKey) {
-    debug!(log, "agent: Packet not delivered."; "flow" => %key);
+    debug!(log, "agent: Packet not delivered: the flow's queue is full or closed."; "flow" => %key);
 }
 
-/// What a packet says, in a few letters.
+/// A packet's TCP flags, sequence numbers and payload length, or `udp`.
 struct Flags<'a>(&'a PacketView<'a>);
 
 impl fmt::Display for Flags<'_> {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A decision without the packets that it carries.
+/// Formats a decision without its packets.
 struct Outcome<'a>(&'a Dispatch);
 
 impl fmt::Display for Outcome<'_> {
--- a/crates/agent/src/flows.rs
+++ b/crates/agent/src/flows.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of flows and takes in what they report.
+//! Starts the tasks of flows and handles the events that they report.
 
 use std::time::Instant;
 
@@ -17,29 +17,29 @@
 use crate::tcp_flow::TcpFlow;
 use crate::udp_flow::UdpFlow;
 
-/// Packets of one flow that may wait for its task; further ones are dropped.
+/// Maximum number of packets queued for a flow's task; further packets are dropped.
 const FLOW_QUEUE: usize = 64;
 
-/// What a flow's task reports to the main loop.
+/// Event that a flow's task reports to the main loop.
 #[derive(Debug)]
 pub(crate) enum FlowEvent {
     /// The handshake is complete.
     Opened { key: FlowKey, has_timestamps: bool },
-    /// The back end took no connection; nothing was answered to the caller yet.
+    /// The back end accepted no connection; the client has not been answered yet.
     NotOpened { flow: FlowId, reason: RefusalReason, opening_packet: Vec<u8> },
     /// The flow has ended.
     Ended { flow: FlowId, end: SpliceEnd },
 }
 
-/// Tells two flows of one key apart: an event of the earlier one must not touch
-/// the later one.
+/// Distinguishes successive flows with the same key: an event of an earlier flow must not affect a
+/// later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowId {
     pub(crate) key: FlowKey,
     pub(crate) number: u64,
 }
 
-/// How the main loop reaches a flow's task.
+/// The main loop's handle of a flow's task.
 #[derive(Debug)]
 pub(crate) struct FlowHandle {
     pub(crate) queue: mpsc::Sender<Vec<u8>>,
@@ -108,14 +108,15 @@
         }
     }
 
-    /// Whether the table still holds this flow and not a later one of its key.
+    /// Whether the table still holds this flow rather than a later one with the same key.
     pub(crate) fn is_current(&self, flow: &FlowId) -> bool {
         let handle = self.dispatcher.flows.get(&flow.key);
         handle.is_some_and(|handle| handle.number == flow.number)
     }
 
-    /// Nothing has run, so the flow may be tried elsewhere: the opening packet
-    /// starts over, while this agent counts as having no room.
+    /// Handles a flow whose back end accepted no connection. No request has run, so another agent
+    /// may still open the flow: the opening packet is decided about again, while this agent counts
+    /// as having no capacity.
     pub(crate) fn handle_not_opened(
         &mut self,
         flow: &FlowId,
@@ -128,7 +129,7 @@
         }
         self.dispatcher.flows.release(&flow.key);
         self.dispatcher.suspect_back_end(Instant::now());
-        warn!(self.log, "agent: Back end takes no connection."; "reason" => reason.name());
+        warn!(self.log, "agent: Back end does not accept connections; new flows go to other targets for a while."; "reason" => reason.name());
         self.handle_own(Delivery::Forwarded, packet);
     }
 
@@ -136,7 +137,8 @@
         let key = &flow.key;
         flow_log::ended(&self.log, key, end);
         if self.is_current(flow) {
-            // A flow that never opened may be tried again by its caller at once.
+            // The client of a flow that never opened may retry at once, so its key is not
+            // quarantined.
             if key.protocol == Protocol::Tcp && end != SpliceEnd::NeverOpened {
                 self.dispatcher.flows.remove(key, Instant::now());
             } else {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent: stands beside one back end, holds its flows, and decides with
-//! the service's other agents which of them admits a new flow.
+//! The agent of one target: it runs on the machine of the target's back end, terminates the flows
+//! that the target holds, and decides together with the service's other agents which of them admits
+//! a new flow.
 //!
-//! [`dispatch`] decides what to do with each message and does no I/O; the flow
-//! modules run one task per flow; [`run`] owns the socket and wires them up.
+//! [`dispatch`] decides what to do with each message and does no I/O. The flow modules run one task
+//! per flow. [`run`] owns the socket and connects the two.
 
 mod back_end;
 mod carry_out;
--- a/crates/agent/src/load.rs
+++ b/crates/agent/src/load.rs
@@ -1,14 +1,14 @@
 //! Counts the flows that wait for an answer of the back end.
 //!
-//! A layer-4 process sees no requests. A flow counts as in flight from its
-//! admission, or from the caller's latest bytes, until the back end's next
-//! bytes: for request-and-answer protocols that is the time a slot is held or
-//! waited for, and a standing feed counts only until its first bytes.
+//! A layer-4 process sees no requests. A flow counts as in flight from its admission, or from the
+//! client's latest bytes, until the back end's next bytes. For request-response protocols this is
+//! the time during which a slot is occupied or waited for; a long-lived feed counts only until its
+//! first bytes.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 
-/// The count, shared by all flows of an agent.
+/// The number of flows in flight, shared by all flows of an agent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlight {
     count: Arc<AtomicU32>,
@@ -19,14 +19,14 @@
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Starts a flow in flight.
+    /// Counts a new flow as in flight.
     pub(crate) fn begin(&self) -> FlowInFlight {
         self.count.fetch_add(1, Ordering::Relaxed);
         FlowInFlight { in_flight: self.clone(), waiting: AtomicBool::new(true) }
     }
 }
 
-/// One flow's share of the count; gives it back when dropped.
+/// One flow's contribution to the count; removed when dropped.
 #[derive(Debug)]
 pub(crate) struct FlowInFlight {
     in_flight: InFlight,
@@ -34,14 +34,15 @@
 }
 
 impl FlowInFlight {
-    /// The caller sent something, or is expected to.
+    /// Notes that the client has sent data or is expected to: the flow is in flight.
     pub(crate) fn caller_sent(&self) {
         if !self.waiting.swap(true, Ordering::Relaxed) {
             self.in_flight.count.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// The back end answered, or nothing is expected of it any more.
+    /// Notes that the back end has answered or that no answer is expected any more: the flow is not in
+    /// flight.
     pub(crate) fn back_end_sent(&self) {
         if self.waiting.swap(false, Ordering::Relaxed) {
             self.in_flight.count.fetch_sub(1, Ordering::Relaxed);
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use weirhinge_observe::{Counter, Gauge, Metrics, ReasonCounters};
 
-/// What an agent counts.
+/// Counters and gauges of an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentMetrics {
     /// Messages received from balancers and agents.
@@ -11,11 +11,11 @@
     pub(crate) packets_dropped: ReasonCounters,
     /// Packets passed on to another agent, by reason.
     pub(crate) packets_passed_on: ReasonCounters,
-    /// Packets that the fabric's socket did not take.
+    /// Packets and messages that the kernel did not accept for sending.
     pub(crate) packets_unsent: Counter,
     /// Bytes of control messages sent to other agents.
     pub(crate) control_bytes: Counter,
-    /// Opening packets handled in the place of a silent owner.
+    /// Opening packets handled as standby owner because the owner did not claim them.
     pub(crate) standby_acted: Counter,
     /// Opening packets admitted here because no candidate claimed them.
     pub(crate) offers_unclaimed: Counter,
@@ -25,15 +25,16 @@
     pub(crate) flows_opened: Counter,
     /// Flows refused before anything reached a back end, by reason.
     pub(crate) flows_refused: ReasonCounters,
-    /// Flows that ended, by how.
+    /// Flows that ended, by the way in which they ended.
     pub(crate) flows_ended: ReasonCounters,
-    /// Flows cut by this process: back end gone, deadline of a planned stop.
+    /// Flows broken by this process: the back end failed, or the deadline of a graceful shutdown
+    /// passed.
     pub(crate) flows_broken: Counter,
-    /// Flows that wait for an answer.
+    /// Flows that wait for an answer of the back end.
     pub(crate) in_flight: Gauge,
-    /// Configuration revision in force.
+    /// Configuration revision in effect.
     pub(crate) revision: Gauge,
-    /// Polls of the platform that failed or brought nothing usable, by reason.
+    /// Polls of the platform that failed or returned no usable document, by reason.
     pub(crate) platform_errors: ReasonCounters,
 }
 
--- a/crates/agent/src/plant.rs
+++ b/crates/agent/src/plant.rs
@@ -1,26 +1,28 @@
-//! Defects planted on purpose, to show that a rehearsal notices them.
+//! Deliberate defects, which show that a rehearsal detects faults of their kind.
 //!
-//! They exist only in builds with the feature `planted-defects`, which no
-//! release has; elsewhere a name given here is refused.
+//! They can be enabled only in builds with the feature `planted-defects`, which releases never
+//! have; other builds reject every defect's name.
 
 use std::str::FromStr;
 
-/// A planted defect.
+/// A deliberate defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
-    /// Resets unknown flows without asking the other agents. Its own flows' numbers name
-    /// nobody, so that their packets meet agents that do not hold them.
+    /// Resets unknown flows without querying the other agents. The sequence numbers of the agent's
+    /// own flows carry no holder hint, so that their packets reach agents that do not hold them.
     ResetUnknown,
-    /// Gives flows numbers that name nobody, as those of long flows do; no promise breaks.
+    /// Gives flows sequence numbers without a holder hint, like those of long flows. This alone
+    /// breaks none of the guarantees.
     NoNumberHint,
-    /// Resets what does not fit a handshake that another agent may have won.
+    /// Resets the client when a segment does not fit the handshake, although another agent may have
+    /// completed it.
     ResetEarly,
-    /// Accepts envelopes for any service and target.
+    /// Accepts envelopes that name any service and target.
     NoFence,
 }
 
 impl Plant {
-    /// Whether the agent's sequence numbers do not name its target.
+    /// Whether the sequence numbers of the agent's flows carry no holder hint.
     pub(crate) fn hides_holder(plant: Option<Self>) -> bool {
         matches!(plant, Some(Plant::ResetUnknown | Plant::NoNumberHint))
     }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an agent, carries out its decisions, and stops it.
+//! Starts an agent, runs its main loop, and shuts it down.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -23,23 +23,23 @@
 use crate::timestamps;
 use crate::view::AgentView;
 
-/// Receive buffer asked of the kernel, in bytes.
+/// Size of the receive buffer requested from the kernel, in bytes.
 const RECEIVE_BUFFER: usize = 8 << 20;
-/// Room for one datagram.
+/// Size of the buffer for one datagram, in bytes.
 const DATAGRAM_ROOM: usize = 2_048;
-/// Most datagrams handled before other events get their turn.
+/// Maximum number of datagrams handled before other events are polled.
 const RECEIVE_BURST: usize = 64;
-/// Time between two rounds of housekeeping.
+/// Interval between two rounds of housekeeping.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
-/// After the last flow of a planned stop: how long the agent passes on what
-/// stale balancers still send, once nothing has come for this long.
+/// After the last flow of a graceful shutdown has ended, the agent still passes on packets from
+/// balancers with a stale configuration. It exits once no datagram has arrived for this long.
 const QUIET_BEFORE_STOP: Duration = Duration::from_secs(2);
-/// Time for the resets of cut flows to leave.
+/// Time for the resets of aborted flows to be sent.
 const CUT_TIME: Duration = Duration::from_millis(500);
-/// The longest that it does so.
+/// The agent exits this long after the graceful shutdown began, even if datagrams still arrive.
 const LONGEST_QUIET_WAIT: Duration = Duration::from_secs(10);
 
-/// What the main loop shares with the health endpoint.
+/// State that the main loop shares with the health endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct SharedState {
     revision: AtomicU64,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A running agent: what the main loop owns.
+/// A running agent; owned by the main loop.
 pub(crate) struct Agent {
     pub(crate) settings: AgentSettings,
     pub(crate) log: Logger,
@@ -82,11 +82,12 @@
     pub(crate) envelope: Vec<u8>,
 }
 
-/// Runs an agent until `stop` asks for a planned stop and its last flow has
-/// ended or the stated deadline has passed. `ready` is told the bound addresses.
+/// Runs an agent until `stop` requests a graceful shutdown and the last flow has ended or the
+/// configured deadline has passed. Calls `ready` with the bound addresses.
 ///
 /// # Errors
-/// Names the step and the address that failed.
+/// When the keys cannot be read, an address cannot be bound or the data socket fails; the error
+/// names the step and, if any, the address.
 pub async fn run(
     settings: AgentSettings,
     plant: Option<Plant>,
@@ -109,7 +110,7 @@
         .await
         .wrap_err_with(|| format!("bind data socket at {}", settings.common.listen))?;
     let data = socket.local_addr().wrap_err("read the data socket's address")?;
-    // The kernel grants what its limit allows; less is no error.
+    // The kernel may grant a smaller buffer; that is not an error.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
     let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
     info!(log, "agent: Started."; "data" => %data, "admin" => %admin.address());
@@ -125,13 +126,13 @@
     };
     let target = settings.target;
     let follow = follower.run(move |document| {
-        // The main loop is gone only when the process is ending.
+        // The main loop is gone only while the process exits.
         let _ = documents.send(AgentView::build(&document, &key, target));
     });
     let (events, new_events) = mpsc::unbounded_channel();
     let mut agent = Agent::new(settings, log, Arc::new(socket), metrics, shared, events, &key);
     if let Some(plant) = plant {
-        warn!(agent.log, "agent: Runs with a planted defect."; "defect" => ?plant);
+        warn!(agent.log, "agent: Running with a planted defect."; "defect" => ?plant);
         agent.dispatcher.plant(plant);
     }
     tokio::select! {
@@ -140,7 +141,7 @@
     }
 }
 
-/// Sleeps until a packet falls due, for ever if none waits.
+/// Sleeps until `due`, or forever if nothing is due.
 async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => tokio::time::sleep_until(due.into()).await,
@@ -229,7 +230,7 @@
     fn apply(&mut self, view: AgentView) {
         let revision = view.table.revision();
         if view.own.is_none() {
-            warn!(self.log, "agent: Configuration does not know this target.";
+            warn!(self.log, "agent: Configuration does not contain this target.";
                 "target" => self.settings.target.0, "revision" => revision);
         }
         for Announcement { agent, answer } in self.dispatcher.apply(view, Instant::now()) {
@@ -242,11 +243,11 @@
     fn begin_stop(&mut self) {
         self.dispatcher.begin_stop();
         self.shared.stopping.store(true, Ordering::Relaxed);
-        info!(self.log, "agent: Planned stop began; waiting for open flows.";
+        info!(self.log, "agent: Graceful shutdown began; waiting for open flows.";
             "flows" => self.dispatcher.flows.len());
     }
 
-    /// Whether a planned stop that began then may end the process now.
+    /// Whether the process may exit now, given when the graceful shutdown began.
     fn may_end(&self, began: Instant) -> bool {
         let flows = self.dispatcher.flows.len();
         let deadline = self.settings.stop_deadline_seconds.map(Duration::from_secs);
@@ -254,19 +255,19 @@
             let passed = deadline.is_some_and(|deadline| began.elapsed() >= deadline);
             if passed {
                 self.metrics.flows_broken.inc_by(flows as u64);
-                warn!(self.log, "agent: Deadline passed; cutting open flows."; "cut" => flows);
+                warn!(self.log, "agent: Shutdown deadline passed; resetting open flows."; "cut" => flows);
             }
             return passed;
         }
         self.last_datagram.elapsed() >= QUIET_BEFORE_STOP || began.elapsed() >= LONGEST_QUIET_WAIT
     }
 
-    /// Ends what is still open by a reset, so that callers come back at once.
+    /// Resets all open flows, so that their clients reconnect at once.
     async fn cut_flows(&mut self) {
         if self.dispatcher.flows.is_empty() {
             return;
         }
-        // A flow's task resets its caller when its queue is gone.
+        // A flow's task resets its client once its queue is closed.
         self.dispatcher.flows.clear();
         tokio::time::sleep(CUT_TIME).await;
     }
@@ -283,7 +284,7 @@
         let socket = self.socket.clone();
         let mut datagram = [0; DATAGRAM_ROOM];
         for _ in 0..RECEIVE_BURST {
-            // Errors of earlier sends (a peer's port is closed) surface here too.
+            // Errors of earlier sends (such as a peer's closed port) are also reported here.
             let Ok((length, _)) = socket.try_recv_from(&mut datagram) else {
                 return;
             };
--- a/crates/agent/src/tcp_flow.rs
+++ b/crates/agent/src/tcp_flow.rs
@@ -1,4 +1,4 @@
-//! The task of one TCP flow.
+//! The task of one TCP flow: splices the client's packets with a connection to the back end.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,18 +17,18 @@
 use crate::timestamps;
 use crate::view::OwnTarget;
 
-/// Buffers of one flow, in bytes. Most flows are idle feeds: small buffers
-/// keep 2,778 flows per target cheap.
+/// Buffer sizes of one flow, in bytes. Most flows are idle feeds, and a target holds up to 2,778
+/// of them, so the buffers are small.
 const BUFFERS: BufferSizes = BufferSizes { receive: 4 << 10, send: 16 << 10 };
-/// Longest time from the opening packet to the end of the handshake. The caller
-/// may take the flow for open while all its packets are lost, as when a dead
-/// balancer still gets its share: giving up early would break that flow.
+/// Maximum time from the opening packet to the end of the handshake. The client may consider the
+/// flow open while all its packets are lost, for example while a dead balancer still receives its
+/// share of the traffic. A shorter timeout would break such a flow.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A flow that is still opening after this long is not counted as in flight: its
-/// caller has probably gone to another agent or away.
+/// A flow that is still half-open after this time is no longer counted as in flight: its client
+/// has probably taken up another agent's answer or given up.
 const EXPECTED_HANDSHAKE: Duration = Duration::from_secs(1);
 
-/// What a flow's task needs.
+/// State of a TCP flow's task.
 pub(crate) struct TcpFlow {
     pub(crate) id: FlowId,
     pub(crate) own: OwnTarget,
@@ -37,11 +37,11 @@
     pub(crate) sink: FabricSink,
     pub(crate) in_flight: FlowInFlight,
     pub(crate) events: mpsc::UnboundedSender<FlowEvent>,
-    /// Seed of what the stack draws, from the system's secure source.
+    /// Seed of the stack's random numbers, from the system's secure random source.
     pub(crate) seed: u64,
-    /// The first sequence number, which names this agent's target.
+    /// The initial sequence number, which encodes this agent's target; random if `None`.
     pub(crate) initial_sequence: Option<u32>,
-    /// A defect planted on purpose.
+    /// The deliberate defect, if any.
     pub(crate) plant: Option<Plant>,
 }
 
@@ -55,7 +55,7 @@
 
 impl FlowObserver for Observer {
     fn on_established(&mut self) {
-        // The main loop is gone only when the process is ending.
+        // The main loop is gone only while the process exits.
         let _ = self
             .events
             .send(FlowEvent::Opened { key: self.key, has_timestamps: self.has_timestamps });
@@ -77,8 +77,8 @@
 }
 
 impl TcpFlow {
-    /// Connects to the back end, then answers the caller and carries bytes
-    /// until the flow ends. Reports the end as an event.
+    /// Connects to the back end, then answers the client and copies bytes in both directions until
+    /// the flow ends. Reports the end as an event.
     pub(crate) async fn run(self) {
         let flow = self.id;
         let events = self.events.clone();
@@ -133,7 +133,8 @@
     }
 }
 
-/// Whether the caller offers TCP timestamps, by which its packets find home.
+/// Whether the client offers TCP timestamps. Their echoes carry the holder hint, by which the
+/// flow's later packets are routed to this agent.
 fn has_timestamps(opening_packet: &[u8]) -> bool {
     decode_packet(opening_packet)
         .is_ok_and(|view| view.tcp().is_some_and(|segment| segment.timestamp_echo.is_some()))
--- a/crates/agent/src/udp_flow.rs
+++ b/crates/agent/src/udp_flow.rs
@@ -1,4 +1,4 @@
-//! The task of one UDP flow.
+//! The task of one UDP flow: copies datagrams between the client and the back end.
 
 use tokio::sync::mpsc;
 use weirhinge_packet::{Transport, build_udp_packet, decode_packet};
@@ -11,7 +11,7 @@
 use crate::load::FlowInFlight;
 use crate::view::OwnTarget;
 
-/// What a flow's task needs.
+/// State of a UDP flow's task.
 pub(crate) struct UdpFlow {
     pub(crate) id: FlowId,
     pub(crate) own: OwnTarget,
@@ -23,8 +23,8 @@
 }
 
 impl UdpFlow {
-    /// Carries datagrams both ways until the flow has been idle for
-    /// [`UDP_IDLE_TIMEOUT`] or the back end refuses it.
+    /// Copies datagrams in both directions until the flow has been idle for [`UDP_IDLE_TIMEOUT`]
+    /// or the back end refuses it.
     pub(crate) async fn run(mut self) {
         let _ = self.events.send(FlowEvent::Opened { key: self.id.key, has_timestamps: false });
         let end = self.carry().await;
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -1,4 +1,4 @@
-//! What an agent knows from one configuration revision.
+//! The part of one configuration revision that an agent uses.
 
 use std::net::SocketAddr;
 
@@ -10,33 +10,33 @@
 /// The agent's own target in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnTarget {
-    /// Service and target that envelopes must name.
+    /// Service and target that an envelope must name to be accepted.
     pub fence: Fence,
     /// Address of the back end.
     pub back_end: SocketAddr,
-    /// Requests that the back end works on at once.
+    /// Maximum number of requests that the back end processes concurrently.
     pub slots: u32,
-    /// Connections that the back end takes.
+    /// Maximum number of connections that the back end accepts.
     pub connections: u32,
-    /// Whether the target takes new flows.
+    /// Whether the target is active, i.e. accepts new flows.
     pub active: bool,
-    /// Whether the back end is sent a PROXY protocol header.
+    /// Whether connections to the back end start with a PROXY protocol header.
     pub proxy_protocol: bool,
 }
 
-/// One revision as seen by one agent.
+/// One configuration revision, reduced to the service of the agent's target.
 #[derive(Clone, Debug)]
 pub struct AgentView {
-    /// Routes under the revision.
+    /// Routing table of the revision; contains only the target's own service.
     pub table: RoutingTable,
-    /// The agent's own target, unless the revision does not know it.
+    /// The agent's own target; `None` if the revision does not contain it.
     pub own: Option<OwnTarget>,
 }
 
 impl AgentView {
-    /// The view of the agent beside `target`. Its table knows the target's own
-    /// service alone: everything else is refused by the fence anyway, and the
-    /// other services' tables would be most of the agent's memory.
+    /// Builds the view of the agent of `target`. The table contains only the target's own service:
+    /// the fence rejects packets of other services anyway, and the tables of the other services
+    /// would take up most of the agent's memory.
     pub fn build(document: &ConfigDocument, key: &HashKey, target: TargetId) -> Self {
         let own = own_target(document, target);
         let service = own.map(|own| own.fence.service);
@@ -48,13 +48,13 @@
         Self { table: RoutingTable::build(&own_part, key), own }
     }
 
-    /// The owner of a flow's bucket.
+    /// Returns the owner of a flow's bucket.
     pub fn owner(&self, key: &FlowKey) -> Option<TargetId> {
         let buckets = &self.own_service()?.buckets;
         buckets.owner(self.bucket(buckets, key)?)
     }
 
-    /// The deputy of a flow's bucket.
+    /// Returns the standby owner of a flow's bucket.
     pub fn standby_owner(&self, key: &FlowKey) -> Option<TargetId> {
         let buckets = &self.own_service()?.buckets;
         buckets.standby_owner(self.bucket(buckets, key)?)
@@ -64,7 +64,7 @@
         (!buckets.is_empty()).then(|| buckets.bucket(self.table.hasher().hash(key)))
     }
 
-    /// The agent's own service.
+    /// Returns the route of the agent's own service.
     pub fn own_service(&self) -> Option<&ServiceRoute> {
         let own = self.own.as_ref()?;
         self.table.service(own.fence.service)
--- a/crates/agent/tests/dispatch.rs
+++ b/crates/agent/tests/dispatch.rs
@@ -1,4 +1,5 @@
-//! What an agent does with each packet while configurations differ.
+//! Decisions of the dispatcher about packets, also while balancers and agents have different
+//! configuration revisions.
 
 mod support;
 
@@ -15,7 +16,7 @@
 use support::{AGENTS, KEY, agent, document, envelope, owner, segment};
 
 #[test]
-fn the_owner_admits_and_then_delivers() {
+fn owner_admits_then_delivers() {
     let document = document(1, &[]);
     let packet = segment(40_000, true, true);
     let owner = owner(&document, &packet);
@@ -23,31 +24,31 @@
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
     let now = Instant::now();
     let Dispatch::Open { key, announce } = agent.handle(&message, 0, now) else {
-        panic!("the owner admits");
+        panic!("expected the owner to admit the flow");
     };
-    assert_eq!(announce.len(), 1, "the deputy is told");
+    assert_eq!(announce.len(), 1, "the claim is announced to the standby owner");
     agent.flows.insert(key, (), now).expect("inserted");
     assert_eq!(agent.handle(&message, 0, now), Dispatch::Deliver(key));
 }
 
 #[test]
-fn what_is_meant_for_another_service_or_target_goes_nowhere() {
+fn packet_for_other_service_or_target_is_dropped() {
     let document = document(1, &[]);
     let mut agent = agent(0, &document);
     let packet = segment(40_000, true, true);
-    let sound = envelope(0, Delivery::Owner, &packet);
-    let mut refused = |envelope| agent.handle(&AgentMessage::Packet(envelope), 0, Instant::now());
-    assert_eq!(refused(PacketEnvelope { service: 2, ..sound }), Dispatch::Drop("wrong_service"));
-    assert_eq!(refused(PacketEnvelope { target: 1, ..sound }), Dispatch::Drop("wrong_target"));
-    // The address belongs to service 2 by now; a stale balancer says service 1.
+    let valid = envelope(0, Delivery::Owner, &packet);
+    let mut decide = |envelope| agent.handle(&AgentMessage::Packet(envelope), 0, Instant::now());
+    assert_eq!(decide(PacketEnvelope { service: 2, ..valid }), Dispatch::Drop("wrong_service"));
+    assert_eq!(decide(PacketEnvelope { target: 1, ..valid }), Dispatch::Drop("wrong_target"));
+    // The address now belongs to service 2, but a stale balancer's envelope names service 1.
     let mut moved = packet.clone();
     moved[19] = 20;
-    let moved = PacketEnvelope { packet: &moved, ..sound };
-    assert_eq!(refused(moved), Dispatch::Drop("wrong_destination"));
+    let moved = PacketEnvelope { packet: &moved, ..valid };
+    assert_eq!(decide(moved), Dispatch::Drop("wrong_destination"));
 }
 
 #[test]
-fn damaged_packets_are_dropped_by_reason() {
+fn malformed_packets_are_dropped_with_reason() {
     let document = document(1, &[]);
     let mut agent = agent(0, &document);
     let mut packet = segment(40_000, true, true);
@@ -60,21 +61,21 @@
 }
 
 #[test]
-fn a_draining_target_admits_nothing_from_a_stale_balancer() {
+fn draining_target_passes_on_flow_from_stale_balancer() {
     let before = document(1, &[]);
     let packet = segment(40_000, true, true);
     let draining = owner(&before, &packet);
     let mut agent = agent(draining, &document(2, &[draining]));
     let message = AgentMessage::Packet(envelope(draining, Delivery::Owner, &packet));
     let Dispatch::PassOn(ways) = agent.handle(&message, 0, Instant::now()) else {
-        panic!("a draining target passes on");
+        panic!("expected the draining target to pass the flow on");
     };
     assert_eq!(ways.len(), 1);
     assert_ne!(ways[0].target.0, draining);
 }
 
 #[test]
-fn a_stopping_agent_admits_nothing() {
+fn stopping_agent_admits_no_flow() {
     let document = document(1, &[]);
     let packet = segment(40_000, true, true);
     let owner = owner(&document, &packet);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn an_unknown_flow_is_reset_only_when_every_other_agent_denies_it() {
+fn unknown_flow_is_reset_only_after_all_agents_deny_it() {
     let document = document(1, &[]);
     let packet = segment(40_000, false, false);
     let owner = owner(&document, &packet);
@@ -93,7 +94,7 @@
     let start = Instant::now();
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
     let Dispatch::Ask { query, agents } = agent.handle(&message, 0, start) else {
-        panic!("the owner asks first");
+        panic!("expected the owner to query the other agents first");
     };
     assert_eq!(agents.len(), usize::from(AGENTS) - 1);
     let answer = |from| {
@@ -115,10 +116,10 @@
     assert!(matches!(agent.handle(&message, 0, later), Dispatch::Reset { .. }));
 }
 
-/// The fault behind a reset flow that rehearsals found: an agent that did not
-/// know a new target yet took the new target's flow for unknown.
+/// An agent that does not know a new target yet cannot query it, and would reset the new target's
+/// flow as unknown.
 #[test]
-fn an_agent_behind_the_times_resets_nothing() {
+fn agent_with_stale_configuration_resets_no_flow() {
     let old =
         ConfigDocument { targets: document(1, &[]).targets[..2].to_vec(), ..document(1, &[]) };
     let packet = segment(40_000, false, false);
@@ -129,7 +130,7 @@
     fresh.revision = 2;
     let message = AgentMessage::Packet(fresh);
     let Dispatch::Ask { query, .. } = agent.handle(&message, 0, now) else {
-        panic!("the owner asks");
+        panic!("expected the owner to query the other agents");
     };
     let denial = HolderAnswer {
         service: 1,
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_new_target_takes_no_flow_until_it_is_known_everywhere() {
+fn new_target_admits_no_flow_before_join_delay() {
     let document = document(1, &[]);
     let packet = segment(40_000, true, true);
     let own = owner(&document, &packet);
@@ -162,9 +163,9 @@
     assert!(matches!(agent.handle(&message, 0, later), Dispatch::Open { .. }));
 }
 
-/// Holders tell new owners of flows without hints at once.
+/// After a change of owner, holders announce flows without hints to the new owner at once.
 #[test]
-fn a_change_of_owner_is_announced_by_the_holder() {
+fn holder_announces_flow_to_new_owner() {
     let before = document(1, &[]);
     let opening = segment(40_000, true, false);
     let old_owner = owner(&before, &opening);
@@ -173,10 +174,13 @@
     let now = Instant::now();
     let message = AgentMessage::Packet(envelope(old_owner, Delivery::Owner, &opening));
     let Dispatch::Open { key, .. } = holder.handle(&message, 0, now) else {
-        panic!("the first owner admits");
+        panic!("expected the first owner to admit the flow");
     };
     holder.flows.insert(key, (), now).expect("inserted");
-    assert!(holder.opened(&key, false).is_none(), "it owns the bucket itself");
+    assert!(
+        holder.opened(&key, false).is_none(),
+        "the holder is the owner, so there is nothing to announce"
+    );
     let view = AgentView::build(&after, &KEY, TargetId(old_owner));
     let announcements = holder.apply(view, now);
     assert_eq!(announcements.len(), 1);
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn a_flow_without_timestamps_reaches_its_holder_through_the_owner() {
+fn flow_without_timestamps_is_forwarded_by_owner() {
     let document = document(1, &[]);
     let opening = segment(40_000, true, false);
     let owner_target = owner(&document, &opening);
@@ -194,7 +198,7 @@
     let now = Instant::now();
     let assigned = AgentMessage::Packet(envelope(holder_target, Delivery::Assigned, &opening));
     let Dispatch::Open { key, announce } = holder.handle(&assigned, 0, now) else {
-        panic!("the holder admits and tells the owner");
+        panic!("expected the holder to admit the flow");
     };
     let announcement = announce[0];
     assert_eq!(announcement.agent.port(), 7_000 + owner_target);
@@ -202,53 +206,53 @@
     let mut owner = agent(owner_target, &document);
     let claim = AgentMessage::HolderAnswer(announcement.answer);
     assert_eq!(owner.handle(&claim, 0, now), Dispatch::Learned);
-    // A repeated opening packet finds the same agent, not another one.
+    // A retransmitted opening packet goes to the same agent.
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &opening));
     let Dispatch::PassOn(ways) = owner.handle(&message, 0, now) else {
-        panic!("the owner follows the claim");
+        panic!("expected the owner to pass the packet to the claimant");
     };
     assert_eq!((ways[0].target.0, ways[0].delivery), (holder_target, Delivery::Assigned));
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
     let Dispatch::PassOn(ways) = owner.handle(&message, 0, now) else {
-        panic!("the owner forwards");
+        panic!("expected the owner to forward the packet");
     };
     assert_eq!((ways[0].target.0, ways[0].delivery), (holder_target, Delivery::Forwarded));
     let message = AgentMessage::Packet(envelope(holder_target, Delivery::Forwarded, &packet));
     assert_eq!(holder.handle(&message, 0, now), Dispatch::Deliver(key));
 }
 
-/// The fault behind a flow without answer that rehearsals found: two agents
-/// answered the opening packet, and the owner knew only the one that lost.
+/// Two agents answer the same opening packet. If the owner records only the claimant whose answer
+/// the client did not take up, the flow's packets are never answered.
 #[test]
-fn packets_go_to_every_claimant_until_one_is_open() {
+fn packets_go_to_all_claimants_until_one_is_open() {
     let document = document(1, &[]);
     let opening = segment(40_000, true, false);
     let owner_target = owner(&document, &opening);
     let claimants = [(owner_target + 1) % AGENTS, (owner_target + 2) % AGENTS];
     let mut owner = agent(owner_target, &document);
     let now = Instant::now();
-    let flow = decode_packet(&opening).expect("sound").key.into();
-    let says = |from, holding| {
+    let flow = decode_packet(&opening).expect("valid packet").key.into();
+    let answer_from = |from, holding| {
         AgentMessage::HolderAnswer(HolderAnswer { service: 1, from, revision: 1, flow, holding })
     };
-    owner.handle(&says(claimants[0], Holding::Opening), 0, now);
-    owner.handle(&says(claimants[1], Holding::Opening), 0, now);
+    owner.handle(&answer_from(claimants[0], Holding::Opening), 0, now);
+    owner.handle(&answer_from(claimants[1], Holding::Opening), 0, now);
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
     let targets = |dispatch| match dispatch {
         Dispatch::PassOn(ways) => ways.iter().map(|way| way.target.0).collect::<Vec<_>>(),
-        other => panic!("expected forwarding, found {other:?}"),
+        other => panic!("expected PassOn, found {other:?}"),
     };
     assert_eq!(targets(owner.handle(&message, 0, now)), claimants);
-    owner.handle(&says(claimants[1], Holding::Open), 0, now);
-    owner.handle(&says(claimants[0], Holding::Opening), 0, now);
+    owner.handle(&answer_from(claimants[1], Holding::Open), 0, now);
+    owner.handle(&answer_from(claimants[0], Holding::Opening), 0, now);
     assert_eq!(targets(owner.handle(&message, 0, now)), [claimants[1]]);
 }
 
-/// An agent that holds a flow opening for long asks whether another has won it.
+/// An agent whose flow stays half-open queries the other agents, one of which may have it open.
 #[test]
-fn an_agent_gives_up_an_opening_flow_that_another_has_open() {
+fn half_open_flow_is_abandoned_if_open_elsewhere() {
     let document = document(1, &[]);
     let opening = segment(40_000, true, false);
     let own = owner(&document, &opening);
@@ -256,7 +260,7 @@
     let start = Instant::now();
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &opening));
     let Dispatch::Open { key, .. } = agent.handle(&message, 0, start) else {
-        panic!("the owner admits");
+        panic!("expected the owner to admit the flow");
     };
     agent.flows.insert(key, (), start).expect("inserted");
     let packet = segment(40_000, false, false);
@@ -264,11 +268,11 @@
     assert_eq!(agent.handle(&message, 0, start), Dispatch::Deliver(key));
     let later = start + Duration::from_secs(1);
     let Dispatch::Several(all) = agent.handle(&message, 0, later) else {
-        panic!("the agent delivers and asks");
+        panic!("expected the agent to deliver the packet and query the other agents");
     };
     assert_eq!(all[0], Dispatch::Deliver(key));
     let Dispatch::Ask { query, .. } = all[1] else {
-        panic!("the agent asks");
+        panic!("expected a query to the other agents");
     };
     let open = HolderAnswer {
         service: 1,
@@ -278,23 +282,27 @@
         holding: Holding::Open,
     };
     let Dispatch::Several(all) = agent.handle(&AgentMessage::HolderAnswer(open), 0, later) else {
-        panic!("the agent gives up, and passes on what it held");
+        panic!("expected the agent to abandon the flow and forward its packets");
     };
     assert_eq!(all[0], Dispatch::Abandon(key));
     let Dispatch::Release { packets, pass_on } = &all[1] else {
-        panic!("what was held back goes on");
+        panic!("expected the buffered packets to be forwarded");
     };
-    assert_eq!(packets, &[packet.clone(), packet.clone()], "handed over young and when asking");
+    assert_eq!(
+        packets,
+        &[packet.clone(), packet.clone()],
+        "packets buffered before and during the query"
+    );
     assert_eq!(pass_on.target.0, open.from);
 }
 
 #[test]
-fn a_deputy_acts_only_when_nobody_claims_the_flow() {
+fn standby_owner_acts_only_on_unclaimed_flow() {
     let document = document(1, &[]);
     let opening = segment(40_000, true, true);
     let table = RoutingTable::build(&document, &KEY);
-    let route = table.route(&decode_packet(&opening).expect("sound")).expect("route");
-    let deputy_target = route.standby.expect("a deputy").target.0;
+    let route = table.route(&decode_packet(&opening).expect("valid packet")).expect("route");
+    let deputy_target = route.standby.expect("a standby owner").target.0;
     let copy = AgentMessage::Packet(envelope(deputy_target, Delivery::Standby, &opening));
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
@@ -302,7 +310,7 @@
     let mut deputy = agent(deputy_target, &document);
     assert_eq!(deputy.handle(&copy, 0, start), Dispatch::Learned);
     assert_eq!(deputy.take_due_standby(start), None);
-    let due = deputy.take_due_standby(later).expect("nobody claimed it");
+    let due = deputy.take_due_standby(later).expect("unclaimed standby copy is due");
     assert_eq!(due.packet, opening);
 
     let mut deputy = agent(deputy_target, &document);
@@ -317,7 +325,7 @@
     deputy.handle(&AgentMessage::HolderAnswer(claim), 0, start);
     assert_eq!(deputy.take_due_standby(later), None);
 
-    // The deputy itself was the best candidate, and the flow is over already.
+    // The standby owner itself has admitted the flow, and the flow has already ended.
     let mut deputy = agent(deputy_target, &document);
     deputy.handle(&copy, 0, start);
     deputy.flows.insert(due.key, (), start).expect("inserted");
@@ -326,7 +334,7 @@
 }
 
 #[test]
-fn a_new_owner_finds_the_holder_after_a_change() {
+fn new_owner_finds_holder_after_change() {
     let before = document(1, &[]);
     let opening = segment(40_000, true, false);
     let old_owner = owner(&before, &opening);
@@ -337,7 +345,7 @@
     let mut holder = agent(old_owner, &before);
     let message = AgentMessage::Packet(envelope(old_owner, Delivery::Owner, &opening));
     let Dispatch::Open { key, .. } = holder.handle(&message, 0, now) else {
-        panic!("the first owner admits");
+        panic!("expected the first owner to admit the flow");
     };
     holder.flows.insert(key, (), now).expect("inserted");
     holder.opened(&key, false);
@@ -347,23 +355,23 @@
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(new_owner_target, Delivery::Owner, &packet));
     let Dispatch::Ask { query, .. } = new_owner.handle(&message, 0, now) else {
-        panic!("the new owner asks");
+        panic!("expected the new owner to query the other agents");
     };
     let Dispatch::Answer { answer, .. } = holder.handle(&AgentMessage::HolderQuery(query), 0, now)
     else {
-        panic!("the holder answers");
+        panic!("expected the holder to answer the query");
     };
     assert_eq!(answer.holding, Holding::Open);
     let released = new_owner.handle(&AgentMessage::HolderAnswer(answer), 0, now);
     let Dispatch::Release { packets, pass_on } = released else {
-        panic!("the held packet goes on");
+        panic!("expected the buffered packet to be forwarded");
     };
     assert_eq!(packets, [packet]);
     assert_eq!(pass_on.target.0, old_owner);
 }
 
 #[test]
-fn resets_are_never_answered_by_resets() {
+fn reset_is_not_answered_by_reset() {
     let document = document(1, &[]);
     let mut packet = Vec::new();
     PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, 10], 64)
@@ -371,15 +379,15 @@
         .rst()
         .write(&mut packet, &[])
         .expect("packet");
-    let lonely = ConfigDocument { targets: vec![document.targets[0].clone()], ..document };
-    let mut agent = agent(0, &lonely);
+    let single_target = ConfigDocument { targets: vec![document.targets[0].clone()], ..document };
+    let mut agent = agent(0, &single_target);
     let message = AgentMessage::Packet(envelope(0, Delivery::Owner, &packet));
     let dropped = agent.handle(&message, 0, Instant::now());
     assert_eq!(dropped, Dispatch::Drop("reset_of_unknown_flow"));
 }
 
 #[test]
-fn packets_do_not_travel_for_ever() {
+fn packet_over_hop_limit_is_dropped() {
     let document = document(1, &[0]);
     let packet = segment(40_000, true, true);
     let mut agent = agent(0, &document);
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! One service of four targets, agents beside them, and packets for them.
+//! A service with four targets, the dispatchers of their agents, and packets for the service.
 
-// Each test program uses a part of this.
+// Each test program uses only part of this module.
 #![allow(dead_code)]
 
 use std::time::{Duration, Instant};
@@ -18,6 +18,8 @@
 pub const KEY: HashKey = HashKey([7; 16]);
 pub const AGENTS: u16 = 4;
 
+/// A configuration with two services; the four targets belong to service 1, and those in `draining`
+/// are draining.
 pub fn document(revision: u64, draining: &[u16]) -> ConfigDocument {
     let service = |id: u32, protocol, last: u8| Service {
         id: ServiceId(id),
@@ -49,12 +51,12 @@
     }
 }
 
-/// A warm agent that compares no candidates for a new flow.
+/// The dispatcher of a warm agent, which admits new flows without comparing candidates.
 pub fn agent(target: u16, document: &ConfigDocument) -> Dispatcher<()> {
     agent_that_compares(1, target, document)
 }
 
-/// A warm agent that compares up to `candidates` targets for a new flow.
+/// The dispatcher of a warm agent that compares up to `candidates` targets for a new flow.
 pub fn agent_that_compares(
     candidates: u8,
     target: u16,
@@ -63,13 +65,14 @@
     let target = TargetId(target);
     let view = AgentView::build(document, &KEY, target);
     let start = Instant::now();
-    // As long ago as makes the agent a warm, joined member.
+    // Long enough ago that the back end has warmed up and the target accepts flows.
     let earlier = start.checked_sub(Duration::from_secs(60)).unwrap_or(start);
     let mut dispatcher = Dispatcher::new(target, candidates, 16, view.clone(), earlier);
     dispatcher.apply(view, earlier);
     dispatcher
 }
 
+/// A TCP segment from a client to service 1, with or without the TCP timestamp option.
 pub fn segment(port: u16, syn: bool, timestamps: bool) -> Vec<u8> {
     let step =
         PacketBuilder::ipv4([198, 18, 0, 1], [203, 0, 113, 10], 64).tcp(port, 8_443, 1, 4_000);
@@ -80,12 +83,13 @@
     packet
 }
 
+/// An envelope as a balancer sends it under revision 1.
 pub fn envelope(target: u16, delivery: Delivery, packet: &[u8]) -> PacketEnvelope<'_> {
     PacketEnvelope { revision: 1, service: 1, target, delivery, hops: 0, packet }
 }
 
-/// The owner of a packet's flow under a document.
+/// The target that owns the bucket of a packet's flow under `document`.
 pub fn owner(document: &ConfigDocument, packet: &[u8]) -> u16 {
     let table = RoutingTable::build(document, &KEY);
-    table.route(&decode_packet(packet).expect("sound")).expect("route").target.0
+    table.route(&decode_packet(packet).expect("valid packet")).expect("route").target.0
 }
--- a/crates/agent/tests/unclaimed_offers.rs
+++ b/crates/agent/tests/unclaimed_offers.rs
@@ -1,4 +1,4 @@
-//! An opening packet that a candidate never receives is not lost.
+//! An opening packet that no candidate receives is admitted by the agent that offered it.
 
 mod support;
 
@@ -10,11 +10,11 @@
 
 use support::{AGENTS, agent_that_compares, document, envelope, owner, segment};
 
-/// Candidates that are compared for a new flow.
+/// Number of candidates compared for a new flow.
 const CANDIDATES: u8 = 3;
-/// Flows that wait for an answer at the agent: it is busy, and offers what is new.
+/// Flows in flight at the agent, which is therefore busy and offers new flows to candidates.
 const IN_FLIGHT: u32 = 1;
-/// By when an offer has been claimed, or the deputy would act.
+/// Time after which an unclaimed offer is due; later the standby owner would act.
 const CLAIMED_BY: Duration = Duration::from_millis(200);
 
 struct Offered {
@@ -25,11 +25,11 @@
     at: Instant,
 }
 
-/// The owner of a new flow's bucket, which has just offered it to a candidate.
+/// Returns the owner of a new flow's bucket, which has just offered the flow to a candidate.
 fn offered_by_owner() -> Offered {
     let document = document(1, &[]);
     let opening = segment(40_000, true, false);
-    let key = decode_packet(&opening).expect("sound").key;
+    let key = decode_packet(&opening).expect("valid packet").key;
     let target = owner(&document, &opening);
     let mut agent = agent_that_compares(CANDIDATES, target, &document);
     let at = Instant::now();
@@ -50,21 +50,25 @@
 }
 
 #[test]
-fn the_owner_admits_a_flow_that_no_candidate_claims() {
+fn owner_admits_unclaimed_offer() {
     let mut offered = offered_by_owner();
     let due_at = offered.at + CLAIMED_BY;
     assert!(offered.agent.next_standby().is_some_and(|due| due <= due_at));
-    assert_eq!(offered.agent.take_due_offer(offered.at), None, "the candidates have time");
-    let due = offered.agent.take_due_offer(due_at).expect("nobody claimed it");
+    assert_eq!(
+        offered.agent.take_due_offer(offered.at),
+        None,
+        "the candidates may still claim the flow"
+    );
+    let due = offered.agent.take_due_offer(due_at).expect("unclaimed offer is due");
     assert_eq!(due.packet, offered.opening);
     let message = AgentMessage::Packet(envelope(offered.target, Delivery::Assigned, &due.packet));
     let admitted = offered.agent.handle(&message, IN_FLIGHT, due_at);
     assert!(matches!(admitted, Dispatch::Open { .. }), "{admitted:?}");
-    assert_eq!(offered.agent.take_due_offer(due_at + CLAIMED_BY), None, "once a packet");
+    assert_eq!(offered.agent.take_due_offer(due_at + CLAIMED_BY), None, "each offer is due once");
 }
 
 #[test]
-fn a_claimed_offer_is_left_to_its_claimant() {
+fn claimed_offer_is_not_admitted_by_owner() {
     let mut offered = offered_by_owner();
     let message = claim(&offered, Holding::Opening);
     offered.agent.handle(&message, IN_FLIGHT, offered.at);
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn an_offer_that_came_back_to_its_owner_is_not_admitted_twice() {
+fn returned_offer_is_not_admitted_twice() {
     let mut offered = offered_by_owner();
     offered.agent.flows.insert(offered.key, (), offered.at).expect("inserted");
     assert_eq!(offered.agent.take_due_offer(offered.at + CLAIMED_BY), None);
@@ -80,10 +84,10 @@
     assert_eq!(offered.agent.take_due_offer(offered.at + CLAIMED_BY), None);
 }
 
-/// A candidate on the way hears of no claim: were it to wait for one, it would admit
-/// every flow a second time.
+/// A candidate that passes an offer on receives no claims. If it waited for one, it would admit every
+/// such flow a second time.
 #[test]
-fn a_candidate_does_not_wait_for_what_it_passes_on() {
+fn candidate_does_not_keep_passed_on_offer() {
     let document = document(1, &[]);
     let opening = segment(40_000, true, false);
     let owner_target = owner(&document, &opening);
--- a/crates/balancer/benches/forward.rs
+++ b/crates/balancer/benches/forward.rs
@@ -1,5 +1,4 @@
-//! Cost of one packet in the balancer without its system calls: decoding,
-//! routing and writing the envelope.
+//! Cost of forwarding one packet without system calls: decoding, routing and encoding the envelope.
 
 use std::hint::black_box;
 
@@ -28,7 +27,7 @@
 "#;
 
 fn forward(criterion: &mut Criterion) {
-    let document = ConfigDocument::from_toml("bench", DOCUMENT).expect("sound");
+    let document = ConfigDocument::from_toml("bench", DOCUMENT).expect("valid document");
     let table = RoutingTable::build(&document, &HashKey([7; 16]));
     let forwarder = Forwarder::new(&table);
     let mut group = criterion.benchmark_group("forward one packet");
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -1,7 +1,7 @@
-//! The resource API: operators write desired state and watch it.
+//! The resource API, by which operators change the configuration and observe its state.
 //!
-//! Every refusal says in its message whether the write was *not applied* or its
-//! fate is *unknown*; *not applied* is always true.
+//! The message of each failed write says whether the write was *not applied* or its outcome is
+//! *unknown*. A write reported as *not applied* has definitely had no effect.
 
 use std::net::SocketAddr;
 
@@ -20,32 +20,32 @@
     ConfigChange, ConfigCommand, ControlHandle, ControlStatus, Outcome, WriteError,
 };
 
-/// Header with the writer's key: a write repeated with it is not run again.
+/// Header with the client's idempotency key: a write repeated with the same key is applied once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest such key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAXIMUM_KEY: usize = 128;
-/// Largest body of a write, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAXIMUM_BODY: usize = 16 << 20;
-/// Name of the request's body in errors.
+/// Name of the request body in error messages.
 const BODY: &str = "body";
 
 struct ApiContext {
     control: ControlHandle,
 }
 
-/// A running API; stops when dropped.
+/// A running API server; stops when dropped.
 pub struct ApiServer {
     server: HttpServer<ApiContext>,
 }
 
 impl ApiServer {
-    /// The address that the API listens on.
+    /// Returns the address that the API listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 }
 
-/// Every endpoint of the API.
+/// Registers all endpoints of the API.
 fn describe_api() -> eyre::Result<ApiDescription<ApiContext>> {
     let mut api = ApiDescription::new();
     let failed = |error: dropshot::ApiDescriptionRegisterError| eyre!("register API: {error}");
@@ -59,10 +59,10 @@
     Ok(api)
 }
 
-/// The API's OpenAPI document, as indented JSON.
+/// Returns the API's OpenAPI document as indented JSON.
 ///
 /// # Errors
-/// When the description cannot be made.
+/// When an endpoint cannot be registered or the document cannot be serialized.
 pub fn open_api() -> eyre::Result<String> {
     let document = describe_api()?
         .openapi("weirhinge", semver::Version::new(1, 0, 0))
@@ -71,11 +71,11 @@
     serde_json::to_string_pretty(&document).wrap_err("write API description")
 }
 
-/// Starts the API. It has neither TLS nor tokens yet, so that it is kept to
-/// loopback.
+/// Starts the API server. It supports neither TLS nor authentication yet, so it binds to loopback
+/// addresses only.
 ///
 /// # Errors
-/// When the address is not loopback or cannot be bound.
+/// When the address is not a loopback address or cannot be bound.
 pub fn start_api(
     address: SocketAddr,
     control: ControlHandle,
@@ -106,7 +106,7 @@
     id: u32,
 }
 
-/// The answer to an accepted write.
+/// Response body of an accepted write.
 #[derive(Serialize)]
 struct Accepted {
     revision: u64,
@@ -136,7 +136,7 @@
     body: UntypedBody,
 ) -> Result<Response<Body>, HttpError> {
     let mut document: ConfigDocument = read(&body)?;
-    // The revision is the group's to give; the written one is not looked at.
+    // The balancer group assigns the revision; the one in the request is ignored.
     document.revision = 1;
     write(&request, ConfigChange::Replace(document)).await
 }
--- a/crates/balancer/src/data_path.rs
+++ b/crates/balancer/src/data_path.rs
@@ -1,4 +1,4 @@
-//! The data path: one thread that receives, decides and sends.
+//! The data path: one thread that receives packets, routes them and sends them to agents.
 
 use std::io;
 use std::net::UdpSocket;
@@ -13,13 +13,13 @@
 use crate::forward::Forwarder;
 use crate::metrics::BalancerMetrics;
 
-/// Longest wait for a packet before the thread looks for a stop.
+/// Maximum time to wait for packets before the thread checks for a shutdown.
 pub(crate) const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// A planned stop ends once no packet has come for this long. Longer than the
-/// fabric takes to learn that this machine leaves.
+/// A graceful shutdown ends once no packet has arrived for this long. The fabric notices in less
+/// time that this machine is leaving.
 pub(crate) const QUIET_BEFORE_STOP: Duration = Duration::from_secs(5);
 
-/// What the data path needs.
+/// State of the data path's thread.
 pub(crate) struct DataPath {
     pub(crate) socket: UdpSocket,
     pub(crate) table: Arc<ArcSwap<RoutingTable>>,
@@ -29,13 +29,14 @@
 }
 
 impl DataPath {
-    /// Forwards packets until a planned stop has found the fabric quiet.
+    /// Forwards packets until a graceful shutdown has begun and no packet has arrived for
+    /// [`QUIET_BEFORE_STOP`].
     ///
     /// # Errors
-    /// When the socket can no longer receive.
+    /// When receiving from the socket fails.
     pub(crate) fn run(&self) -> io::Result<()> {
         let mut incoming = ReceiveBatch::new(self.batch);
-        // Each packet may bring a copy for the deputy.
+        // Each packet may produce a copy for the standby owner.
         let mut outgoing = SendBatch::new(2 * self.batch);
         let mut last_packet = Instant::now();
         let mut was_stopping = false;
@@ -55,8 +56,8 @@
     }
 
     fn forward_batch(&self, incoming: &ReceiveBatch, outgoing: &mut SendBatch) {
-        // One load for the whole batch: the table cannot change half-way, and
-        // the atomic is not touched per packet.
+        // One load per batch: the whole batch is routed by the same table, and the atomic pointer
+        // is not read per packet.
         let table = self.table.load();
         let forwarder = Forwarder::new(&table);
         let mut received = 0;
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -1,4 +1,4 @@
-//! Turns one packet into the envelope for its agent.
+//! Routes one packet and encodes the envelope for its agent.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 /// Why a packet is not forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ForwardError {
-    /// The packet itself is unsound.
+    /// The packet is malformed or unsupported.
     Packet(DropReason),
     /// The packet has no route.
     Route(RouteError),
@@ -19,7 +19,7 @@
 }
 
 impl ForwardError {
-    /// The reason's name as it appears in metrics.
+    /// Returns the reason's name in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             ForwardError::Packet(reason) => reason.name(),
@@ -29,7 +29,7 @@
     }
 }
 
-/// A copy of an opening packet for the deputy of its bucket.
+/// Destination of the copy of an opening packet that goes to the standby owner of its bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandbyCopy {
     service: ServiceId,
@@ -37,36 +37,36 @@
 }
 
 impl StandbyCopy {
-    /// The deputy's agent.
+    /// Returns the address of the standby owner's agent.
     pub fn agent(&self) -> SocketAddr {
         self.standby.agent
     }
 }
 
-/// Where an envelope goes and why.
+/// Destination of an envelope and the basis of the route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forwarded {
     /// The agent's address.
     pub agent: SocketAddr,
-    /// What the route rests on.
+    /// Whether the packet is routed by its bucket's owner or by a holder hint.
     pub basis: RouteBasis,
-    /// For an opening packet: the copy to send to the deputy as well.
+    /// For an opening packet: the copy to send to the standby owner as well, if there is one.
     pub standby: Option<StandbyCopy>,
 }
 
-/// Forwards packets under one routing table.
+/// Forwards packets by one routing table.
 #[derive(Clone, Copy, Debug)]
 pub struct Forwarder<'a> {
     table: &'a RoutingTable,
 }
 
 impl<'a> Forwarder<'a> {
-    /// A forwarder under `table`.
+    /// Creates a forwarder that routes by `table`.
     pub fn new(table: &'a RoutingTable) -> Self {
         Self { table }
     }
 
-    /// Writes the envelope of `packet` into `envelope`, reusing its memory.
+    /// Routes `packet` and encodes its envelope into `envelope`, whose memory is reused.
     ///
     /// # Errors
     /// The reason for which the packet must be dropped.
@@ -86,7 +86,7 @@
         Ok(Forwarded { agent: route.agent, basis: route.basis, standby })
     }
 
-    /// Writes the envelope of an opening packet's copy for the deputy.
+    /// Encodes the envelope of an opening packet's copy for the standby owner into `envelope`.
     ///
     /// # Errors
     /// When the envelope cannot be encoded.
--- a/crates/balancer/src/metrics.rs
+++ b/crates/balancer/src/metrics.rs
@@ -2,25 +2,25 @@
 
 use weirhinge_observe::{Counter, Gauge, Metrics, ReasonCounters};
 
-/// What a balancer counts.
+/// Counters and gauges of a balancer.
 #[derive(Clone, Debug)]
 pub struct BalancerMetrics {
     /// Packets received from the fabric.
     pub packets_in: Counter,
     /// Packets sent to agents.
     pub packets_forwarded: Counter,
-    /// Packets that went to the holder named by their timestamp.
+    /// Packets routed by their holder hint.
     pub packets_hinted: Counter,
     /// Packets dropped, by reason.
     pub packets_dropped: ReasonCounters,
-    /// Configuration revision in force.
+    /// Configuration revision in effect.
     pub revision: Gauge,
-    /// Polls of the platform that failed or brought nothing usable, by reason.
+    /// Polls of the platform that failed or returned no usable document, by reason.
     pub platform_errors: ReasonCounters,
 }
 
 impl BalancerMetrics {
-    /// Declares all metrics.
+    /// Registers all metrics of a balancer.
     pub fn declare(metrics: &mut Metrics) -> Self {
         Self {
             packets_in: metrics.counter("packets_in", "Packets received"),
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a balancer, keeps its configuration fresh, and stops it.
+//! Starts a balancer, keeps its configuration up to date, and shuts it down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,8 @@
 use crate::data_path::{DataPath, RECEIVE_TIMEOUT};
 use crate::metrics::BalancerMetrics;
 
-/// Receive buffer asked of the kernel, in bytes: rides out short pauses.
+/// Size of the receive buffer requested from the kernel, in bytes. Holds the packets that arrive
+/// while the data path is briefly paused.
 const RECEIVE_BUFFER: usize = 8 << 20;
 
 struct BalancerHealth {
@@ -41,11 +42,12 @@
     }
 }
 
-/// Runs a balancer until `stop` asks for a planned stop and the fabric has
-/// stopped sending. `ready` is told the bound addresses.
+/// Runs a balancer until `stop` requests a graceful shutdown and the fabric has stopped sending.
+/// Calls `ready` with the bound addresses.
 ///
 /// # Errors
-/// Names the step and the address that failed.
+/// When the keys cannot be read, an address cannot be bound or the data path fails; the error names
+/// the step and, if any, the address.
 pub async fn run(
     settings: BalancerSettings,
     log: Logger,
@@ -115,14 +117,14 @@
     });
     let stopped = async {
         stop.await;
-        info!(log, "balancer: Planned stop began; forwarding until the fabric is quiet.");
+        info!(log, "balancer: Graceful shutdown began; forwarding until the fabric stops sending.");
         stopping.store(true, Ordering::Relaxed);
         std::future::pending::<()>().await;
     };
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
-        () = put_in_force => Err(eyre!("put configuration in force: ended unexpectedly")),
-        () = stopped => Err(eyre!("planned stop: ended unexpectedly")),
+        () = put_in_force => Err(eyre!("apply configuration: ended unexpectedly")),
+        () = stopped => Err(eyre!("wait for shutdown: ended unexpectedly")),
         result = ended => {
             result.wrap_err("data path: thread ended without a result")??;
             info!(log, "balancer: Stopped.");
@@ -131,8 +133,8 @@
     }
 }
 
-/// Puts the agreed document in force once there is one, the platform's until
-/// then; never one with a lower revision than before.
+/// Applies each new document: the one that the balancers have agreed on if there is one, else the
+/// platform's. Never applies a document with a lower revision than the last one applied.
 async fn put_in_force(
     mut base: watch::Receiver<Arc<ConfigDocument>>,
     mut agreed: watch::Receiver<Arc<ConfigDocument>>,
@@ -149,7 +151,7 @@
             in_force = newest.revision;
             apply(&newest);
         }
-        // Both senders live as long as the daemon.
+        // Both senders exist until the daemon exits.
         let changed = tokio::select! {
             changed = base.changed() => changed,
             changed = agreed.changed() => changed,
@@ -165,8 +167,8 @@
         .wrap_err_with(|| format!("bind data socket at {address}"))?;
     socket
         .set_read_timeout(Some(RECEIVE_TIMEOUT))
-        .wrap_err("set the data socket's read time-out")?;
-    // The kernel grants what its limit allows; less is no error.
+        .wrap_err("set the data socket's read timeout")?;
+    // The kernel may grant a smaller buffer; that is not an error.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
     Ok(socket)
 }
@@ -177,7 +179,7 @@
         .name("data-path".to_owned())
         .spawn(move || {
             let result = data_path.run().wrap_err("receive packets from the fabric");
-            // The receiver is gone only when the process is ending anyway.
+            // The receiver is gone only while the process exits.
             let _ = sender.send(result);
         })
         .wrap_err("start the data path's thread")?;
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -1,5 +1,5 @@
-//! What a balancer makes of a packet: the envelope for its agent, and a copy of
-//! an opening packet for the deputy.
+//! Forwarding of packets: the envelope for the target's agent, and the copy of an opening packet
+//! for the standby owner.
 
 use etherparse::PacketBuilder;
 use weirhinge_balancer::{ForwardError, Forwarder};
@@ -36,7 +36,7 @@
 "#;
 
 fn table() -> RoutingTable {
-    let document = ConfigDocument::from_toml("test", DOCUMENT).expect("sound");
+    let document = ConfigDocument::from_toml("test", DOCUMENT).expect("valid document");
     RoutingTable::build(&document, &HashKey([7; 16]))
 }
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_opening_packet_goes_to_owner_and_deputy() {
+fn opening_packet_goes_to_owner_and_standby_owner() {
     let table = table();
     let forwarder = Forwarder::new(&table);
     let packet = packet(true, &[]);
@@ -71,15 +71,18 @@
     assert_eq!(forwarded.agent.port(), 7_000 + owner.target);
     let owner_target = owner.target;
 
-    let copy = forwarded.standby.expect("a deputy");
+    let copy = forwarded.standby.expect("a standby owner");
     forwarder.forward_standby(&copy, &packet, &mut buffer).expect("encoded");
-    let deputy = envelope(&buffer);
-    assert_eq!((deputy.target, deputy.delivery), (3 - owner_target, Delivery::Standby));
-    assert_eq!(copy.agent().port(), 7_000 + deputy.target);
+    let standby_owner = envelope(&buffer);
+    assert_eq!(
+        (standby_owner.target, standby_owner.delivery),
+        (3 - owner_target, Delivery::Standby)
+    );
+    assert_eq!(copy.agent().port(), 7_000 + standby_owner.target);
 }
 
 #[test]
-fn a_later_packet_follows_its_hint_and_has_no_copy() {
+fn hinted_packet_goes_to_its_holder_without_standby_copy() {
     let table = table();
     let forwarder = Forwarder::new(&table);
     for target in [1, 2] {
@@ -96,14 +99,15 @@
 }
 
 #[test]
-fn what_has_no_route_is_dropped_by_reason() {
+fn packet_without_route_is_dropped_with_reason() {
     let table = table();
     let forwarder = Forwarder::new(&table);
     let mut buffer = Vec::new();
-    let mut refused = |packet: &[u8]| forwarder.forward(packet, &mut buffer).expect_err("dropped");
+    let mut drop_reason =
+        |packet: &[u8]| forwarder.forward(packet, &mut buffer).expect_err("dropped");
     let truncated = ForwardError::Packet(DropReason::Truncated);
-    assert_eq!(refused(&[0x45]), truncated);
-    let mut elsewhere = packet(true, &[]);
-    elsewhere[19] = 99;
-    assert_eq!(refused(&elsewhere), ForwardError::Route(RouteError::UnknownService));
+    assert_eq!(drop_reason(&[0x45]), truncated);
+    let mut to_unknown_service = packet(true, &[]);
+    to_unknown_service[19] = 99;
+    assert_eq!(drop_reason(&to_unknown_service), ForwardError::Route(RouteError::UnknownService));
 }
