--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -7,15 +7,15 @@
 use weirhinge_packet::{FlowKey, TcpSegment};
 use weirhinge_wire::{Delivery, HolderAnswer, HolderQuery, Holding};
 
-use super::{Announcement, Arrival, Dispatch, Dispatcher, MAXIMUM_HOPS, PassOn, reset};
-use crate::plant::Plant;
+use super::{Announcement, Arrival, Dispatch, Dispatcher, MAX_HOPS, NextHop, reset};
+use crate::planted_defect::Plant;
 
 /// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
 /// have its previous holder.
 pub const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// A flow that is still half-open this long after its admission may be open at another agent, so the
 /// other agents are queried.
-const SUSPICIOUS_OPENING: Duration = Duration::from_millis(500);
+const SUSPICIOUS_OPENING_AGE: Duration = Duration::from_millis(500);
 
 impl<H> Dispatcher<H> {
     /// Handles a packet of a flow that is half-open here. The client may have taken up another
@@ -26,24 +26,24 @@
         if opens || arrival.envelope.delivery == Delivery::Forwarded {
             return Dispatch::Deliver(key);
         }
-        let suspicious = age >= SUSPICIOUS_OPENING || self.directory.has_claim(&key);
+        let suspicious = age >= SUSPICIOUS_OPENING_AGE || self.directory.has_claim(&key);
         if !suspicious {
             // Another agent's claim may still arrive.
             self.directory.buffer_for_claimants(&key, arrival.envelope.packet, arrival.now);
             return Dispatch::Deliver(key);
         }
         let further = match self.locate(arrival) {
-            LookupStep::Query => self.ask(arrival),
+            LookupStep::Query => self.query_holders(arrival),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
             LookupStep::Wait | LookupStep::Absent => return Dispatch::Deliver(key),
         };
-        Dispatch::Several(vec![Dispatch::Deliver(key), further])
+        Dispatch::Multiple(vec![Dispatch::Deliver(key), further])
     }
 
     /// Notes that the handshake of a flow held here is complete. Packets without timestamps carry no
     /// holder hint and go to the bucket's owner, so the owner is notified.
-    pub fn opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
+    pub fn note_opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
         self.flows.mark_open(key, has_timestamps);
         self.directory.forget(key);
         if has_timestamps {
@@ -78,24 +78,28 @@
     }
 
     /// Handles a packet, not an opening one, of a TCP flow that is not held here.
-    pub(super) fn unknown_tcp(&mut self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Dispatch {
+    pub(super) fn handle_unknown_tcp(
+        &mut self,
+        arrival: &Arrival<'_>,
+        segment: &TcpSegment,
+    ) -> Dispatch {
         if self.flows.is_quarantined(&arrival.view.key, arrival.now) {
             return reset(&arrival.view.key, segment, "ended_flow");
         }
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
-        if self.plant == Some(Plant::ResetUnknown) {
+        if self.planted_defect == Some(Plant::ResetUnknown) {
             return reset(&arrival.view.key, segment, "planted");
         }
-        if let Some(owner) = self.owner_of_misnamed(arrival, segment) {
+        if let Some(owner) = self.owner_of_misdirected(arrival, segment) {
             return self.pass_on(arrival, owner, Delivery::Owner);
         }
         match self.locate(arrival) {
-            LookupStep::Query => self.ask(arrival),
+            LookupStep::Query => self.query_holders(arrival),
             LookupStep::Wait => Dispatch::Drop("awaiting_holder"),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
             LookupStep::Absent if self.is_stale() => Dispatch::Drop("stale_view"),
             LookupStep::Absent => reset(&arrival.view.key, segment, "unknown_flow"),
         }
@@ -104,10 +108,15 @@
     /// Returns the owner of a flow whose sequence numbers name this agent although it does not hold
     /// the flow. The numbers of a long flow advance until they name another target. The owner knows
     /// the holder or queries for it.
-    fn owner_of_misnamed(&self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Option<TargetId> {
-        let by_number =
+    fn owner_of_misdirected(
+        &self,
+        arrival: &Arrival<'_>,
+        segment: &TcpSegment,
+    ) -> Option<TargetId> {
+        let hinted_by_sequence =
             arrival.envelope.delivery == Delivery::Hinted && segment.timestamp_echo.is_none();
-        self.owner(&arrival.view.key).filter(|&owner| by_number && owner != self.own_target)
+        self.owner(&arrival.view.key)
+            .filter(|&owner| hinted_by_sequence && owner != self.own_target)
     }
 
     /// Answers a forwarded packet whose flow is not held here. Another agent, as a rule the bucket's
@@ -120,7 +129,7 @@
     }
 
     /// Handles a packet of a UDP flow that is not held here, whether the flow is new or not.
-    pub(super) fn unknown_udp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn handle_unknown_udp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
@@ -133,11 +142,11 @@
         let changed = arrival.now.saturating_duration_since(self.last_change);
         if changed < UDP_IDLE_TIMEOUT {
             match self.locate(arrival) {
-                LookupStep::Query => return self.ask(arrival),
+                LookupStep::Query => return self.query_holders(arrival),
                 LookupStep::Wait => return Dispatch::Drop("awaiting_holder"),
                 LookupStep::Forward(holders) => return self.forward(arrival, &holders),
                 LookupStep::ForwardAndQuery(holders) => {
-                    return self.forward_and_ask(arrival, &holders);
+                    return self.forward_and_query(arrival, &holders);
                 }
                 LookupStep::Absent if self.is_stale() => return Dispatch::Drop("stale_view"),
                 LookupStep::Absent => {}
@@ -153,19 +162,24 @@
     }
 
     pub(super) fn locate(&mut self, arrival: &Arrival<'_>) -> LookupStep {
-        let others = self.others();
-        self.directory.locate(&arrival.view.key, &others, arrival.envelope.packet, arrival.now)
+        let other_targets = self.other_targets();
+        self.directory.locate(
+            &arrival.view.key,
+            &other_targets,
+            arrival.envelope.packet,
+            arrival.now,
+        )
     }
 
     /// Returns the service's other targets, including draining ones.
-    pub(super) fn others(&self) -> Vec<TargetId> {
+    pub(super) fn other_targets(&self) -> Vec<TargetId> {
         let members = self.view.own_service().map_or(&[][..], |service| &service.members);
         members.iter().copied().filter(|&member| member != self.own_target).collect()
     }
 
-    pub(super) fn ask(&self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn query_holders(&self, arrival: &Arrival<'_>) -> Dispatch {
         let agents = self
-            .others()
+            .other_targets()
             .into_iter()
             .filter_map(|target| Some(self.view.table.target(target)?.agent))
             .collect();
@@ -175,29 +189,33 @@
             revision: self.view.table.revision(),
             flow: arrival.view.key.into(),
         };
-        Dispatch::Ask { query, agents }
+        Dispatch::Query { query, agents }
     }
 
     pub(super) fn forward(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Dispatch {
-        if arrival.envelope.hops >= MAXIMUM_HOPS {
+        if arrival.envelope.hops >= MAX_HOPS {
             return Dispatch::Drop("too_many_hops");
         }
         let delivery = Delivery::Forwarded;
-        let ways = holders.iter().filter_map(|&target| {
+        let next_hops = holders.iter().filter_map(|&target| {
             let agent = self.view.table.target(target)?.agent;
-            Some(PassOn { agent, target, delivery })
+            Some(NextHop { agent, target, delivery })
         });
-        Dispatch::PassOn(ways.collect())
+        Dispatch::PassOn(next_hops.collect())
     }
 
-    pub(super) fn forward_and_ask(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Dispatch {
-        Dispatch::Several(vec![self.forward(arrival, holders), self.ask(arrival)])
+    pub(super) fn forward_and_query(
+        &self,
+        arrival: &Arrival<'_>,
+        holders: &[TargetId],
+    ) -> Dispatch {
+        Dispatch::Multiple(vec![self.forward(arrival, holders), self.query_holders(arrival)])
     }
 
     /// Whether a message has shown a newer revision than the one in effect here. Then a target may
     /// exist that this agent does not know and therefore cannot query.
     pub(super) fn is_stale(&self) -> bool {
-        self.newest_seen > self.view.table.revision()
+        self.newest_revision_seen > self.view.table.revision()
     }
 
     pub(super) fn handle_query(&self, query: &HolderQuery, now: Instant) -> Dispatch {
@@ -207,7 +225,7 @@
         if query.service != own.fence.service.0 {
             return Dispatch::Drop("wrong_service");
         }
-        let Some(asker) = self.view.table.target(TargetId(query.from)) else {
+        let Some(requester) = self.view.table.target(TargetId(query.from)) else {
             return Dispatch::Drop("unknown_target");
         };
         let answer = HolderAnswer {
@@ -221,7 +239,7 @@
                 None => Holding::Not,
             },
         };
-        Dispatch::Answer { agent: asker.agent, answer }
+        Dispatch::Answer { agent: requester.agent, answer }
     }
 
     pub(super) fn handle_answer(&mut self, answer: &HolderAnswer, now: Instant) -> Dispatch {
@@ -233,22 +251,27 @@
         let holder = TargetId(answer.from);
         let packets = self.directory.record_answer(&key, holder, answer.holding, now);
         let own_phase = self.flows.phase(&key, now).map(|(phase, _)| phase);
-        let gives_up = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
-        match (gives_up, self.release(packets, holder)) {
-            (true, Some(release)) => Dispatch::Several(vec![Dispatch::Abandon(key), release]),
+        let abandons = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
+        match (abandons, self.forward_buffered(packets, holder)) {
+            (true, Some(forwarding)) => {
+                Dispatch::Multiple(vec![Dispatch::Abandon(key), forwarding])
+            }
             (true, None) => Dispatch::Abandon(key),
-            (false, Some(release)) => release,
-            (false, None) => Dispatch::Learned,
+            (false, Some(forwarding)) => forwarding,
+            (false, None) => Dispatch::Recorded,
         }
     }
 
     /// Decides to send buffered packets, if there are any, to the agent that holds their flow.
-    fn release(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Dispatch> {
+    fn forward_buffered(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Dispatch> {
         if packets.is_empty() {
             return None;
         }
         let agent = self.view.table.target(holder)?.agent;
         let delivery = Delivery::Forwarded;
-        Some(Dispatch::Release { packets, pass_on: PassOn { agent, target: holder, delivery } })
+        Some(Dispatch::ForwardBuffered {
+            packets,
+            next_hop: NextHop { agent, target: holder, delivery },
+        })
     }
 }
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -16,7 +16,7 @@
 };
 use weirhinge_wire::{AgentMessage, Delivery, HolderAnswer, HolderQuery, Holding, PacketEnvelope};
 
-use crate::plant::Plant;
+use crate::planted_defect::Plant;
 use crate::view::{AgentView, OwnTarget};
 
 pub use holders::UDP_IDLE_TIMEOUT;
@@ -27,13 +27,13 @@
 /// Time within which a second opening packet counts as a duplicate of the one just passed on.
 /// Shorter than TCP's first retransmission timeout (1 s): a retransmission must start a new chain
 /// of offers, as the first chain may be lost.
-const REPEATED_OFFER: Duration = Duration::from_millis(500);
+const DUPLICATE_OPENING_WINDOW: Duration = Duration::from_millis(500);
 /// Maximum number of opening packets remembered as passed on.
-const REPEATED_OFFER_CAPACITY: usize = 8_192;
+const DUPLICATE_OPENING_CAPACITY: usize = 8_192;
 /// How long a back end that accepted no connection gets no new flows.
-const SUSPECT_TIME: Duration = Duration::from_secs(1);
+const BACK_END_SUSPECT_TIME: Duration = Duration::from_secs(1);
 /// Maximum number of times that a packet is passed on between agents.
-const MAXIMUM_HOPS: u8 = 12;
+const MAX_HOPS: u8 = 12;
 
 /// The decision about a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,13 +48,13 @@
         announce: Vec<Announcement>,
     },
     /// Send the packet to another agent, or to all agents that claim its flow.
-    PassOn(Vec<PassOn>),
+    PassOn(Vec<NextHop>),
     /// Execute several decisions about the same packet.
-    Several(Vec<Dispatch>),
+    Multiple(Vec<Dispatch>),
     /// Abandon the flow that is half-open here: another agent has it open.
     Abandon(FlowKey),
     /// Ask other agents which of them holds a flow; the packet is buffered meanwhile.
-    Ask {
+    Query {
         /// The query.
         query: HolderQuery,
         /// Addresses of the agents to query.
@@ -75,13 +75,13 @@
         reason: &'static str,
     },
     /// Nothing to do: the message has been recorded or queued.
-    Learned,
+    Recorded,
     /// Send buffered packets to the flow's holder.
-    Release {
+    ForwardBuffered {
         /// The buffered packets, oldest first.
         packets: Vec<Vec<u8>>,
         /// The holder's agent.
-        pass_on: PassOn,
+        next_hop: NextHop,
     },
     /// Drop the message; the value is the reason's name in metrics.
     Drop(&'static str),
@@ -98,7 +98,7 @@
 
 /// The agent that a packet is passed on to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PassOn {
+pub struct NextHop {
     /// The next agent's address.
     pub agent: SocketAddr,
     /// The next agent's target.
@@ -128,17 +128,17 @@
     directory: HolderDirectory,
     standby: StandbyQueue,
     /// Opening packets that this agent has offered to candidates and that may stay unclaimed.
-    offered: StandbyQueue,
-    passed_on: ExpiringSet<FlowKey>,
+    offered_openings: StandbyQueue,
+    recently_passed_on: ExpiringSet<FlowKey>,
     started: Instant,
     last_change: Instant,
     suspect_until: Option<Instant>,
     stopping: bool,
     /// Highest configuration revision seen in any message.
-    newest_seen: u64,
+    newest_revision_seen: u64,
     /// When the configuration first contained this agent's target.
-    known_since: Option<Instant>,
-    plant: Option<Plant>,
+    configured_since: Option<Instant>,
+    planted_defect: Option<Plant>,
 }
 
 impl<H> Dispatcher<H> {
@@ -158,26 +158,29 @@
             flows: FlowTable::new(half_open_limit, QUARANTINE),
             directory: HolderDirectory::default(),
             standby: StandbyQueue::for_owners(),
-            offered: StandbyQueue::for_candidates(),
-            passed_on: ExpiringSet::new(REPEATED_OFFER, REPEATED_OFFER_CAPACITY),
+            offered_openings: StandbyQueue::for_candidates(),
+            recently_passed_on: ExpiringSet::new(
+                DUPLICATE_OPENING_WINDOW,
+                DUPLICATE_OPENING_CAPACITY,
+            ),
             started: now,
             last_change: now,
             suspect_until: None,
             stopping: false,
-            newest_seen: 0,
-            known_since: None,
-            plant: None,
+            newest_revision_seen: 0,
+            configured_since: None,
+            planted_defect: None,
         }
     }
 
     /// Returns the deliberate defect, if any.
-    pub fn planted(&self) -> Option<Plant> {
-        self.plant
+    pub fn planted_defect(&self) -> Option<Plant> {
+        self.planted_defect
     }
 
     /// Enables a deliberate defect.
-    pub fn plant(&mut self, plant: Plant) {
-        self.plant = Some(plant);
+    pub fn enable_defect(&mut self, planted_defect: Plant) {
+        self.planted_defect = Some(planted_defect);
     }
 
     /// Applies a newer configuration. Returns announcements for the new owners of open flows whose
@@ -186,7 +189,7 @@
         let previous = std::mem::replace(&mut self.view, view);
         self.last_change = now;
         if self.view.own.is_some() {
-            self.known_since.get_or_insert(now);
+            self.configured_since.get_or_insert(now);
         }
         self.flows
             .open_without_hint()
@@ -201,14 +204,14 @@
     }
 
     /// Begins a graceful shutdown: no new flow is admitted from now on.
-    pub fn begin_stop(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.stopping = true;
     }
 
     /// Notes that the back end accepted no connection: new flows are passed on to other targets for
     /// a short time.
     pub fn suspect_back_end(&mut self, now: Instant) {
-        self.suspect_until = Some(now + SUSPECT_TIME);
+        self.suspect_until = Some(now + BACK_END_SUSPECT_TIME);
     }
 
     /// Removes expired entries. Must be called every few seconds.
@@ -219,7 +222,7 @@
     /// Decides about one message. `in_flight` is the current number of flows that wait for an answer
     /// of the back end.
     pub fn handle(&mut self, message: &AgentMessage<'_>, in_flight: u32, now: Instant) -> Dispatch {
-        self.newest_seen = self.newest_seen.max(message.revision());
+        self.newest_revision_seen = self.newest_revision_seen.max(message.revision());
         match message {
             AgentMessage::Packet(envelope) => self.handle_packet(envelope, in_flight, now),
             AgentMessage::HolderQuery(query) => self.handle_query(query, now),
@@ -242,7 +245,7 @@
         };
         let destination = self.view.table.service_for(&view).map(|service| service.id);
         if let Err(error) = own.fence.check(envelope, destination)
-            && self.plant != Some(Plant::NoFence)
+            && self.planted_defect != Some(Plant::NoFence)
         {
             return Dispatch::Drop(error.name());
         }
@@ -256,9 +259,9 @@
             None => {}
         }
         match view.tcp() {
-            Some(segment) if segment.opens_flow() => self.open_tcp(&arrival),
-            Some(segment) => self.unknown_tcp(&arrival, segment),
-            None => self.unknown_udp(&arrival),
+            Some(segment) if segment.opens_flow() => self.handle_opening_tcp(&arrival),
+            Some(segment) => self.handle_unknown_tcp(&arrival, segment),
+            None => self.handle_unknown_udp(&arrival),
         }
     }
 
@@ -273,12 +276,12 @@
     }
 
     fn pass_on(&self, arrival: &Arrival<'_>, to: TargetId, delivery: Delivery) -> Dispatch {
-        if arrival.envelope.hops >= MAXIMUM_HOPS {
+        if arrival.envelope.hops >= MAX_HOPS {
             return Dispatch::Drop("too_many_hops");
         }
         match self.view.table.target(to) {
             Some(target) => {
-                Dispatch::PassOn(vec![PassOn { agent: target.agent, target: to, delivery }])
+                Dispatch::PassOn(vec![NextHop { agent: target.agent, target: to, delivery }])
             }
             None => Dispatch::Drop("unknown_target"),
         }
--- a/crates/agent/src/dispatch/opening.rs
+++ b/crates/agent/src/dispatch/opening.rs
@@ -18,38 +18,38 @@
 /// effect everywhere.
 const JOIN_DELAY: Duration = Duration::from_secs(3);
 /// Speed at which warming up starts, in thousandths of full speed.
-const COLD_WARMTH: u32 = 100;
+const COLD_SPEED_PERMILLE: u32 = 100;
 /// Speed of a warm back end, in thousandths of full speed.
-const FULL_WARMTH: u32 = 1_000;
+const FULL_SPEED_PERMILLE: u32 = 1_000;
 
 impl<H> Dispatcher<H> {
     /// Handles an opening packet of a TCP flow that is not held here.
-    pub(super) fn open_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn handle_opening_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         if arrival.envelope.delivery == Delivery::Standby {
-            return self.stand_by(arrival);
+            return self.queue_standby(arrival);
         }
-        self.offer_tcp(arrival)
+        self.admit_or_pass_on(arrival)
     }
 
     /// Handles the copy of an opening packet that the balancer sends to the bucket's standby owner.
     /// The copy is queued, unless the owner is unresponsive or is this agent itself.
-    pub(super) fn stand_by(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn queue_standby(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         let key = arrival.view.key;
         let owner = self.owner(&key).filter(|&owner| owner != self.own_target);
         match owner {
             Some(_) if self.directory.has_claim(&key) => Dispatch::Drop("claimed"),
             Some(owner) if !self.standby.is_unresponsive(owner, arrival.now) => {
                 self.standby.push(key, owner, arrival.envelope.packet, arrival.now);
-                Dispatch::Learned
+                Dispatch::Recorded
             }
             // The owner is unresponsive, or this agent has become the owner.
-            _ => self.offer_tcp(arrival),
+            _ => self.admit_or_pass_on(arrival),
         }
     }
 
     /// Returns when the next queued opening packet (standby copy or offer) is due.
-    pub fn next_standby(&self) -> Option<Instant> {
-        [self.standby.next_due(), self.offered.next_due()].into_iter().flatten().min()
+    pub fn next_opening_due(&self) -> Option<Instant> {
+        [self.standby.next_due(), self.offered_openings.next_due()].into_iter().flatten().min()
     }
 
     /// Takes the next due standby copy whose flow no agent has claimed.
@@ -62,11 +62,11 @@
     /// has claimed. The caller must handle it as [`Delivery::Assigned`].
     pub fn take_due_offer(&mut self, now: Instant) -> Option<DuePacket> {
         let (directory, flows) = (&self.directory, &mut self.flows);
-        self.offered.take_due(now, |key| is_claimed(directory, flows, key, now))
+        self.offered_openings.take_due(now, |key| is_claimed(directory, flows, key, now))
     }
 
     /// Admits or refuses a new flow, or passes it on to a candidate.
-    pub(super) fn offer_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn admit_or_pass_on(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         let first_hop = arrival.envelope.delivery == Delivery::Owner;
         let claim = self.directory.recent_claim(&arrival.view.key, arrival.now);
         if let (true, Some(claimant)) = (first_hop, claim) {
@@ -84,10 +84,10 @@
             AdmissionStep::Admit => self.admit(arrival),
             AdmissionStep::Refuse(reason) => self.refuse(arrival, reason),
             AdmissionStep::PassOn { to, delivery } => {
-                if first_hop && !self.passed_on.insert(arrival.view.key, arrival.now) {
+                if first_hop && !self.recently_passed_on.insert(arrival.view.key, arrival.now) {
                     return Dispatch::Drop("repeated_opening");
                 }
-                self.await_candidates(arrival, to);
+                self.keep_offered_opening(arrival, to);
                 self.pass_on(arrival, to, delivery)
             }
         }
@@ -101,13 +101,14 @@
     /// delay, would be lost there too, and its first request would inherit their timeout of
     /// seconds. Only the owner and the standby owner receive claims; for flows offered by other
     /// agents, the client has to retransmit.
-    fn await_candidates(&mut self, arrival: &Arrival<'_>, first: TargetId) {
+    fn keep_offered_opening(&mut self, arrival: &Arrival<'_>, first: TargetId) {
         let starts_here =
             !matches!(arrival.envelope.delivery, Delivery::Offered(_) | Delivery::Assigned);
         let key = arrival.view.key;
-        let is_told = [self.owner(&key), self.standby_owner(&key)].contains(&Some(self.own_target));
-        if starts_here && is_told {
-            self.offered.push(key, first, arrival.envelope.packet, arrival.now);
+        let receives_claims =
+            [self.owner(&key), self.standby_owner(&key)].contains(&Some(self.own_target));
+        if starts_here && receives_claims {
+            self.offered_openings.push(key, first, arrival.envelope.packet, arrival.now);
         }
     }
 
@@ -149,7 +150,8 @@
     /// Whether the target has been in the configuration long enough for the service's other agents
     /// to know it. An agent that does not know it yet would treat this target's flows as unknown.
     pub(super) fn has_joined(&self, now: Instant) -> bool {
-        self.known_since.is_some_and(|since| now.saturating_duration_since(since) >= JOIN_DELAY)
+        self.configured_since
+            .is_some_and(|since| now.saturating_duration_since(since) >= JOIN_DELAY)
     }
 
     pub(super) fn candidates_for(&self, arrival: &Arrival<'_>, limit: u8) -> Candidates<'_> {
@@ -177,8 +179,9 @@
 
 fn speed_permille(age: Duration) -> u32 {
     if age >= WARM_UP {
-        return FULL_WARMTH;
+        return FULL_SPEED_PERMILLE;
     }
-    let gained = (FULL_WARMTH - COLD_WARMTH) as u128 * age.as_millis() / WARM_UP.as_millis();
-    COLD_WARMTH + gained as u32
+    let gained_permille =
+        (FULL_SPEED_PERMILLE - COLD_SPEED_PERMILLE) as u128 * age.as_millis() / WARM_UP.as_millis();
+    COLD_SPEED_PERMILLE + gained_permille as u32
 }
--- a/crates/agent/src/flow_log.rs
+++ b/crates/agent/src/flow_log.rs
@@ -13,12 +13,12 @@
 use crate::dispatch::Dispatch;
 
 /// Whether debug lines are written.
-pub(crate) fn is_on(log: &Logger) -> bool {
+pub(crate) fn is_enabled(log: &Logger) -> bool {
     log.is_debug_enabled()
 }
 
 /// Logs that a packet was delivered to a half-open flow.
-pub(crate) fn delivered_half_open(log: &Logger, key: &FlowKey, packet: &[u8]) {
+pub(crate) fn log_half_open_delivery(log: &Logger, key: &FlowKey, packet: &[u8]) {
     if let Ok(view) = decode_packet(packet) {
         debug!(log, "agent: Packet delivered to a half-open flow."; "flow" => %key,
             "packet" => %Flags(&view));
@@ -26,8 +26,8 @@
 }
 
 /// Logs a message and the decision about it.
-pub(crate) fn decided(log: &Logger, message: &AgentMessage<'_>, dispatch: &Dispatch) {
-    if matches!(dispatch, Dispatch::Deliver(_)) || !is_on(log) {
+pub(crate) fn log_decision(log: &Logger, message: &AgentMessage<'_>, dispatch: &Dispatch) {
+    if matches!(dispatch, Dispatch::Deliver(_)) || !is_enabled(log) {
         return;
     }
     match message {
@@ -52,22 +52,22 @@
 }
 
 /// Logs that a flow's handshake is complete.
-pub(crate) fn opened(log: &Logger, key: &FlowKey) {
+pub(crate) fn log_opened(log: &Logger, key: &FlowKey) {
     debug!(log, "agent: Flow is open."; "flow" => %key);
 }
 
 /// Logs that the back end accepted no connection for a flow.
-pub(crate) fn not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
+pub(crate) fn log_not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
     debug!(log, "agent: Flow could not be connected to the back end."; "flow" => %key, "reason" => reason.name());
 }
 
 /// Logs that a flow has ended.
-pub(crate) fn ended(log: &Logger, key: &FlowKey, end: SpliceEnd) {
+pub(crate) fn log_ended(log: &Logger, key: &FlowKey, end: SpliceEnd) {
     debug!(log, "agent: Flow ended."; "flow" => %key, "end" => ?end);
 }
 
 /// Logs that a packet was dropped because its flow's queue was full or closed.
-pub(crate) fn not_delivered(log: &Logger, key: &FlowKey) {
+pub(crate) fn log_undelivered(log: &Logger, key: &FlowKey) {
     debug!(log, "agent: Packet not delivered: the flow's queue is full or closed."; "flow" => %key);
 }
 
@@ -106,23 +106,26 @@
             Dispatch::Open { announce, .. } => {
                 write!(formatter, "admitted, claimed with {} agents", announce.len())
             }
-            Dispatch::PassOn(ways) => {
-                let targets: Vec<_> = ways.iter().map(|way| (way.target.0, way.delivery)).collect();
+            Dispatch::PassOn(next_hops) => {
+                let targets: Vec<_> = next_hops
+                    .iter()
+                    .map(|next_hop| (next_hop.target.0, next_hop.delivery))
+                    .collect();
                 write!(formatter, "passed on to {targets:?}")
             }
-            Dispatch::Several(all) => {
+            Dispatch::Multiple(all) => {
                 for dispatch in all {
                     write!(formatter, "{}; ", Outcome(dispatch))?;
                 }
                 Ok(())
             }
             Dispatch::Abandon(_) => formatter.write_str("given up"),
-            Dispatch::Ask { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
+            Dispatch::Query { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
             Dispatch::Answer { answer, .. } => write!(formatter, "answered {:?}", answer.holding),
             Dispatch::Reset { reason, .. } => write!(formatter, "reset: {reason}"),
-            Dispatch::Learned => formatter.write_str("noted"),
-            Dispatch::Release { packets, pass_on } => {
-                write!(formatter, "{} packets released to {}", packets.len(), pass_on.target.0)
+            Dispatch::Recorded => formatter.write_str("noted"),
+            Dispatch::ForwardBuffered { packets, next_hop } => {
+                write!(formatter, "{} packets released to {}", packets.len(), next_hop.target.0)
             }
             Dispatch::Drop(reason) => write!(formatter, "dropped: {reason}"),
         }
--- a/crates/agent/src/flows.rs
+++ b/crates/agent/src/flows.rs
@@ -12,13 +12,13 @@
 
 use crate::dispatch::Announcement;
 use crate::flow_log;
-use crate::plant::Plant;
+use crate::planted_defect::Plant;
 use crate::run::{Agent, random_u64};
 use crate::tcp_flow::TcpFlow;
 use crate::udp_flow::UdpFlow;
 
 /// Maximum number of packets queued for a flow's task; further packets are dropped.
-const FLOW_QUEUE: usize = 64;
+const FLOW_QUEUE_CAPACITY: usize = 64;
 
 /// Event that a flow's task reports to the main loop.
 #[derive(Debug)]
@@ -47,15 +47,15 @@
 }
 
 impl Agent {
-    pub(crate) fn open(&mut self, key: FlowKey, opening_packet: Vec<u8>) {
+    pub(crate) fn start_flow(&mut self, key: FlowKey, opening_packet: Vec<u8>) {
         let Some(own) = self.dispatcher.view().own else {
             return;
         };
-        let plant = self.dispatcher.planted();
+        let planted_defect = self.dispatcher.planted_defect();
         let (Ok(seed), Ok(random)) = (random_u64(), random_u64()) else {
             return self.metrics.packets_dropped.increment("no_random_source");
         };
-        let (queue, packets) = mpsc::channel(FLOW_QUEUE);
+        let (queue, packets) = mpsc::channel(FLOW_QUEUE_CAPACITY);
         self.next_flow += 1;
         let id = FlowId { key, number: self.next_flow };
         let handle = FlowHandle { queue, number: id.number };
@@ -79,8 +79,9 @@
                     in_flight,
                     events,
                     seed,
-                    initial_sequence: (!Plant::hides_holder(plant)).then_some(initial_sequence),
-                    plant,
+                    initial_sequence: (!Plant::hides_holder(planted_defect))
+                        .then_some(initial_sequence),
+                    planted_defect,
                 };
                 tokio::spawn(flow.run());
             }
@@ -94,9 +95,9 @@
     pub(crate) fn handle_event(&mut self, event: FlowEvent) {
         match event {
             FlowEvent::Opened { key, has_timestamps } => {
-                flow_log::opened(&self.log, &key);
+                flow_log::log_opened(&self.log, &key);
                 self.metrics.flows_opened.inc();
-                let announcement = self.dispatcher.opened(&key, has_timestamps);
+                let announcement = self.dispatcher.note_opened(&key, has_timestamps);
                 if let Some(Announcement { agent, answer }) = announcement {
                     self.answer(agent, answer);
                 }
@@ -123,19 +124,19 @@
         reason: RefusalReason,
         packet: &[u8],
     ) {
-        flow_log::not_opened(&self.log, &flow.key, reason);
+        flow_log::log_not_opened(&self.log, &flow.key, reason);
         if !self.is_current(flow) {
             return;
         }
         self.dispatcher.flows.release(&flow.key);
         self.dispatcher.suspect_back_end(Instant::now());
         warn!(self.log, "agent: Back end does not accept connections; new flows go to other targets for a while."; "reason" => reason.name());
-        self.handle_own(Delivery::Forwarded, packet);
+        self.handle_kept_packet(Delivery::Forwarded, packet);
     }
 
     pub(crate) fn handle_ended(&mut self, flow: &FlowId, end: SpliceEnd) {
         let key = &flow.key;
-        flow_log::ended(&self.log, key, end);
+        flow_log::log_ended(&self.log, key, end);
         if self.is_current(flow) {
             // The client of a flow that never opened may retry at once, so its key is not
             // quarantined.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -6,19 +6,19 @@
 //! per flow. [`run`] owns the socket and connects the two.
 
 mod back_end;
-mod carry_out;
 pub mod dispatch;
+mod execute;
 mod fabric;
 mod flow_log;
 mod flows;
 mod load;
 mod metrics;
-pub mod plant;
+pub mod planted_defect;
 mod run;
 mod tcp_flow;
 mod timestamps;
 mod udp_flow;
 pub mod view;
 
-pub use plant::Plant;
+pub use planted_defect::Plant;
 pub use run::run;
--- a/crates/agent/src/load.rs
+++ b/crates/agent/src/load.rs
@@ -20,22 +20,22 @@
     }
 
     /// Counts a new flow as in flight.
-    pub(crate) fn begin(&self) -> FlowInFlight {
+    pub(crate) fn begin(&self) -> InFlightGuard {
         self.count.fetch_add(1, Ordering::Relaxed);
-        FlowInFlight { in_flight: self.clone(), waiting: AtomicBool::new(true) }
+        InFlightGuard { in_flight: self.clone(), waiting: AtomicBool::new(true) }
     }
 }
 
 /// One flow's contribution to the count; removed when dropped.
 #[derive(Debug)]
-pub(crate) struct FlowInFlight {
+pub(crate) struct InFlightGuard {
     in_flight: InFlight,
     waiting: AtomicBool,
 }
 
-impl FlowInFlight {
+impl InFlightGuard {
     /// Notes that the client has sent data or is expected to: the flow is in flight.
-    pub(crate) fn caller_sent(&self) {
+    pub(crate) fn note_client_data(&self) {
         if !self.waiting.swap(true, Ordering::Relaxed) {
             self.in_flight.count.fetch_add(1, Ordering::Relaxed);
         }
@@ -43,15 +43,15 @@
 
     /// Notes that the back end has answered or that no answer is expected any more: the flow is not in
     /// flight.
-    pub(crate) fn back_end_sent(&self) {
+    pub(crate) fn note_answered(&self) {
         if self.waiting.swap(false, Ordering::Relaxed) {
             self.in_flight.count.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-impl Drop for FlowInFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.back_end_sent();
+        self.note_answered();
     }
 }
--- a/crates/agent/src/plant.rs
+++ b/crates/agent/src/planted_defect.rs
@@ -23,8 +23,8 @@
 
 impl Plant {
     /// Whether the sequence numbers of the agent's flows carry no holder hint.
-    pub(crate) fn hides_holder(plant: Option<Self>) -> bool {
-        matches!(plant, Some(Plant::ResetUnknown | Plant::NoNumberHint))
+    pub(crate) fn hides_holder(planted_defect: Option<Self>) -> bool {
+        matches!(planted_defect, Some(Plant::ResetUnknown | Plant::NoNumberHint))
     }
 }
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -19,14 +19,14 @@
 use crate::flows::{FlowEvent, FlowHandle};
 use crate::load::InFlight;
 use crate::metrics::AgentMetrics;
-use crate::plant::Plant;
+use crate::planted_defect::Plant;
 use crate::timestamps;
 use crate::view::AgentView;
 
 /// Size of the receive buffer requested from the kernel, in bytes.
-const RECEIVE_BUFFER: usize = 8 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 /// Size of the buffer for one datagram, in bytes.
-const DATAGRAM_ROOM: usize = 2_048;
+const DATAGRAM_BUFFER_BYTES: usize = 2_048;
 /// Maximum number of datagrams handled before other events are polled.
 const RECEIVE_BURST: usize = 64;
 /// Interval between two rounds of housekeeping.
@@ -35,9 +35,9 @@
 /// balancers with a stale configuration. It exits once no datagram has arrived for this long.
 const QUIET_BEFORE_STOP: Duration = Duration::from_secs(2);
 /// Time for the resets of aborted flows to be sent.
-const CUT_TIME: Duration = Duration::from_millis(500);
+const RESET_SEND_TIME: Duration = Duration::from_millis(500);
 /// The agent exits this long after the graceful shutdown began, even if datagrams still arrive.
-const LONGEST_QUIET_WAIT: Duration = Duration::from_secs(10);
+const MAX_QUIET_WAIT: Duration = Duration::from_secs(10);
 
 /// State that the main loop shares with the health endpoint.
 #[derive(Debug, Default)]
@@ -90,7 +90,7 @@
 /// names the step and, if any, the address.
 pub async fn run(
     settings: AgentSettings,
-    plant: Option<Plant>,
+    planted_defect: Option<Plant>,
     log: Logger,
     ready: impl FnOnce(BoundAddresses),
     stop: impl Future<Output = ()>,
@@ -111,7 +111,7 @@
         .wrap_err_with(|| format!("bind data socket at {}", settings.common.listen))?;
     let data = socket.local_addr().wrap_err("read the data socket's address")?;
     // The kernel may grant a smaller buffer; that is not an error.
-    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
+    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
     info!(log, "agent: Started."; "data" => %data, "admin" => %admin.address());
     ready(BoundAddresses { data, admin: admin.address(), control: None, api: None });
@@ -131,9 +131,9 @@
     });
     let (events, new_events) = mpsc::unbounded_channel();
     let mut agent = Agent::new(settings, log, Arc::new(socket), metrics, shared, events, &key);
-    if let Some(plant) = plant {
-        warn!(agent.log, "agent: Running with a planted defect."; "defect" => ?plant);
-        agent.dispatcher.plant(plant);
+    if let Some(planted_defect) = planted_defect {
+        warn!(agent.log, "agent: Running with a planted defect."; "defect" => ?planted_defect);
+        agent.dispatcher.enable_defect(planted_defect);
     }
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
@@ -189,7 +189,7 @@
             shared,
             events,
             last_datagram: now,
-            envelope: Vec::with_capacity(DATAGRAM_ROOM),
+            envelope: Vec::with_capacity(DATAGRAM_BUFFER_BYTES),
         }
     }
 
@@ -200,7 +200,7 @@
         stop: impl Future<Output = ()>,
     ) -> eyre::Result<()> {
         let mut housekeeping = tokio::time::interval(HOUSEKEEPING_INTERVAL);
-        let mut stop_began: Option<Instant> = None;
+        let mut shutdown_began: Option<Instant> = None;
         tokio::pin!(stop);
         loop {
             tokio::select! {
@@ -209,19 +209,19 @@
                     self.receive_burst();
                 }
                 Some(event) = events.recv() => self.handle_event(event),
-                () = sleep_until_due(self.dispatcher.next_standby()) => self.act_on_standby(),
+                () = sleep_until_due(self.dispatcher.next_opening_due()) => self.handle_due_openings(),
                 Some(view) = documents.recv() => self.apply(view),
                 _ = housekeeping.tick() => {
-                    self.keep_house();
-                    if stop_began.is_some_and(|began| self.may_end(began)) {
-                        self.cut_flows().await;
+                    self.run_housekeeping();
+                    if shutdown_began.is_some_and(|began| self.can_exit(began)) {
+                        self.reset_open_flows().await;
                         info!(self.log, "agent: Stopped.");
                         return Ok(());
                     }
                 }
-                () = &mut stop, if stop_began.is_none() => {
-                    stop_began = Some(Instant::now());
-                    self.begin_stop();
+                () = &mut stop, if shutdown_began.is_none() => {
+                    shutdown_began = Some(Instant::now());
+                    self.begin_shutdown();
                 }
             }
         }
@@ -240,15 +240,15 @@
         self.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
 
-    fn begin_stop(&mut self) {
-        self.dispatcher.begin_stop();
+    fn begin_shutdown(&mut self) {
+        self.dispatcher.begin_shutdown();
         self.shared.stopping.store(true, Ordering::Relaxed);
         info!(self.log, "agent: Graceful shutdown began; waiting for open flows.";
             "flows" => self.dispatcher.flows.len());
     }
 
     /// Whether the process may exit now, given when the graceful shutdown began.
-    fn may_end(&self, began: Instant) -> bool {
+    fn can_exit(&self, began: Instant) -> bool {
         let flows = self.dispatcher.flows.len();
         let deadline = self.settings.stop_deadline_seconds.map(Duration::from_secs);
         if flows > 0 {
@@ -259,20 +259,20 @@
             }
             return passed;
         }
-        self.last_datagram.elapsed() >= QUIET_BEFORE_STOP || began.elapsed() >= LONGEST_QUIET_WAIT
+        self.last_datagram.elapsed() >= QUIET_BEFORE_STOP || began.elapsed() >= MAX_QUIET_WAIT
     }
 
     /// Resets all open flows, so that their clients reconnect at once.
-    async fn cut_flows(&mut self) {
+    async fn reset_open_flows(&mut self) {
         if self.dispatcher.flows.is_empty() {
             return;
         }
         // A flow's task resets its client once its queue is closed.
         self.dispatcher.flows.clear();
-        tokio::time::sleep(CUT_TIME).await;
+        tokio::time::sleep(RESET_SEND_TIME).await;
     }
 
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         self.dispatcher.expire(Instant::now());
         let flows = self.dispatcher.flows.len();
         self.shared.flows.store(flows as u64, Ordering::Relaxed);
@@ -282,7 +282,7 @@
 
     fn receive_burst(&mut self) {
         let socket = self.socket.clone();
-        let mut datagram = [0; DATAGRAM_ROOM];
+        let mut datagram = [0; DATAGRAM_BUFFER_BYTES];
         for _ in 0..RECEIVE_BURST {
             // Errors of earlier sends (such as a peer's closed port) are also reported here.
             let Ok((length, _)) = socket.try_recv_from(&mut datagram) else {
--- a/crates/agent/src/tcp_flow.rs
+++ b/crates/agent/src/tcp_flow.rs
@@ -12,8 +12,8 @@
 use crate::back_end;
 use crate::fabric::FabricSink;
 use crate::flows::{FlowEvent, FlowId};
-use crate::load::FlowInFlight;
-use crate::plant::Plant;
+use crate::load::InFlightGuard;
+use crate::planted_defect::Plant;
 use crate::timestamps;
 use crate::view::OwnTarget;
 
@@ -26,7 +26,7 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A flow that is still half-open after this time is no longer counted as in flight: its client
 /// has probably taken up another agent's answer or given up.
-const EXPECTED_HANDSHAKE: Duration = Duration::from_secs(1);
+const EXPECTED_HANDSHAKE_TIME: Duration = Duration::from_secs(1);
 
 /// State of a TCP flow's task.
 pub(crate) struct TcpFlow {
@@ -35,21 +35,21 @@
     pub(crate) opening_packet: Vec<u8>,
     pub(crate) packets: mpsc::Receiver<Vec<u8>>,
     pub(crate) sink: FabricSink,
-    pub(crate) in_flight: FlowInFlight,
+    pub(crate) in_flight: InFlightGuard,
     pub(crate) events: mpsc::UnboundedSender<FlowEvent>,
     /// Seed of the stack's random numbers, from the system's secure random source.
     pub(crate) seed: u64,
     /// The initial sequence number, which encodes this agent's target; random if `None`.
     pub(crate) initial_sequence: Option<u32>,
     /// The deliberate defect, if any.
-    pub(crate) plant: Option<Plant>,
+    pub(crate) planted_defect: Option<Plant>,
 }
 
 struct Observer {
     key: FlowKey,
     has_timestamps: bool,
     established: Arc<AtomicBool>,
-    in_flight: Arc<FlowInFlight>,
+    in_flight: Arc<InFlightGuard>,
     events: mpsc::UnboundedSender<FlowEvent>,
 }
 
@@ -60,19 +60,19 @@
             .events
             .send(FlowEvent::Opened { key: self.key, has_timestamps: self.has_timestamps });
         self.established.store(true, Ordering::Relaxed);
-        self.in_flight.caller_sent();
+        self.in_flight.note_client_data();
     }
 
     fn on_peer_data(&mut self) {
-        self.in_flight.caller_sent();
+        self.in_flight.note_client_data();
     }
 
     fn on_stream_data(&mut self) {
-        self.in_flight.back_end_sent();
+        self.in_flight.note_answered();
     }
 
     fn on_finished(&mut self) {
-        self.in_flight.back_end_sent();
+        self.in_flight.note_answered();
     }
 }
 
@@ -82,27 +82,27 @@
     pub(crate) async fn run(self) {
         let flow = self.id;
         let events = self.events.clone();
-        let event = match self.carry().await {
+        let event = match self.connect_and_splice().await {
             Ok(end) => FlowEvent::Ended { flow, end },
-            Err(unopened) => unopened,
+            Err(not_opened) => not_opened,
         };
         let _ = events.send(event);
     }
 
-    async fn carry(mut self) -> Result<SpliceEnd, FlowEvent> {
+    async fn connect_and_splice(mut self) -> Result<SpliceEnd, FlowEvent> {
         let stream = match back_end::connect_tcp(&self.own, &self.id.key).await {
             Ok(stream) => stream,
-            Err(reason) => return Err(self.unopened(reason)),
+            Err(reason) => return Err(self.not_opened(reason)),
         };
         let options = EndpointOptions {
             buffers: BUFFERS,
             seed: self.seed,
             timestamps: Some(timestamps::now),
             initial_sequence: self.initial_sequence,
-            resets_early: self.plant == Some(Plant::ResetEarly),
+            resets_early: self.planted_defect == Some(Plant::ResetEarly),
         };
         let Ok(mut endpoint) = TcpEndpoint::listen(self.id.key.destination, options) else {
-            return Err(self.unopened(RefusalReason::BackEndRefused));
+            return Err(self.not_opened(RefusalReason::BackEndRefused));
         };
         let has_timestamps = has_timestamps(&self.opening_packet);
         endpoint.receive(self.opening_packet);
@@ -116,19 +116,19 @@
             events: self.events,
         };
         let packets = &mut self.packets;
-        let carried = splice(endpoint, stream, packets, self.sink, observer, HANDSHAKE_TIMEOUT);
-        tokio::pin!(carried);
+        let splicing = splice(endpoint, stream, packets, self.sink, observer, HANDSHAKE_TIMEOUT);
+        tokio::pin!(splicing);
         tokio::select! {
-            end = &mut carried => return Ok(end),
-            () = tokio::time::sleep(EXPECTED_HANDSHAKE) => {}
+            end = &mut splicing => return Ok(end),
+            () = tokio::time::sleep(EXPECTED_HANDSHAKE_TIME) => {}
         }
         if !established.load(Ordering::Relaxed) {
-            in_flight.back_end_sent();
+            in_flight.note_answered();
         }
-        Ok(carried.await)
+        Ok(splicing.await)
     }
 
-    fn unopened(self, reason: RefusalReason) -> FlowEvent {
+    fn not_opened(self, reason: RefusalReason) -> FlowEvent {
         FlowEvent::NotOpened { flow: self.id, reason, opening_packet: self.opening_packet }
     }
 }
--- a/crates/agent/src/udp_flow.rs
+++ b/crates/agent/src/udp_flow.rs
@@ -8,7 +8,7 @@
 use crate::dispatch::UDP_IDLE_TIMEOUT;
 use crate::fabric::FabricSink;
 use crate::flows::{FlowEvent, FlowId};
-use crate::load::FlowInFlight;
+use crate::load::InFlightGuard;
 use crate::view::OwnTarget;
 
 /// State of a UDP flow's task.
@@ -18,7 +18,7 @@
     pub(crate) opening_packet: Vec<u8>,
     pub(crate) packets: mpsc::Receiver<Vec<u8>>,
     pub(crate) sink: FabricSink,
-    pub(crate) in_flight: FlowInFlight,
+    pub(crate) in_flight: InFlightGuard,
     pub(crate) events: mpsc::UnboundedSender<FlowEvent>,
 }
 
@@ -27,11 +27,11 @@
     /// or the back end refuses it.
     pub(crate) async fn run(mut self) {
         let _ = self.events.send(FlowEvent::Opened { key: self.id.key, has_timestamps: false });
-        let end = self.carry().await;
+        let end = self.copy_datagrams().await;
         let _ = self.events.send(FlowEvent::Ended { flow: self.id, end });
     }
 
-    async fn carry(&mut self) -> SpliceEnd {
+    async fn copy_datagrams(&mut self) -> SpliceEnd {
         let Ok(socket) = back_end::connect_udp(self.own.back_end).await else {
             return SpliceEnd::StreamFailed;
         };
@@ -44,14 +44,14 @@
             tokio::select! {
                 packet = self.packets.recv() => {
                     let Some(packet) = packet else { return SpliceEnd::Cancelled };
-                    self.in_flight.caller_sent();
+                    self.in_flight.note_client_data();
                     if send_payload(&socket, &packet).await.is_err() {
                         return SpliceEnd::StreamFailed;
                     }
                 }
                 received = socket.recv(&mut answer) => {
                     let Ok(length) = received else { return SpliceEnd::StreamFailed };
-                    self.in_flight.back_end_sent();
+                    self.in_flight.note_answered();
                     if let Ok(packet) = build_udp_packet(&self.id.key, &answer[..length]) {
                         self.sink.send(&packet);
                     }
--- a/crates/agent/src/view.rs
+++ b/crates/agent/src/view.rs
@@ -40,12 +40,12 @@
     pub fn build(document: &ConfigDocument, key: &HashKey, target: TargetId) -> Self {
         let own = own_target(document, target);
         let service = own.map(|own| own.fence.service);
-        let own_part = ConfigDocument {
+        let own_document = ConfigDocument {
             revision: document.revision,
-            services: only(&document.services, |entry| Some(entry.id) == service),
-            targets: only(&document.targets, |entry| Some(entry.service) == service),
+            services: select_entries(&document.services, |entry| Some(entry.id) == service),
+            targets: select_entries(&document.targets, |entry| Some(entry.service) == service),
         };
-        Self { table: RoutingTable::build(&own_part, key), own }
+        Self { table: RoutingTable::build(&own_document, key), own }
     }
 
     /// Returns the owner of a flow's bucket.
@@ -71,7 +71,7 @@
     }
 }
 
-fn only<T: Clone>(entries: &[T], is_wanted: impl Fn(&T) -> bool) -> Vec<T> {
+fn select_entries<T: Clone>(entries: &[T], is_wanted: impl Fn(&T) -> bool) -> Vec<T> {
     entries.iter().filter(|entry| is_wanted(entry)).cloned().collect()
 }
 
--- a/crates/agent/tests/rival_agents.rs
+++ b/crates/agent/tests/competing_claims.rs
@@ -37,14 +37,14 @@
     agent.flows.insert(key, (), now).expect("inserted");
     let request = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &request));
-    let Dispatch::Several(all) = agent.handle(&message, 0, now) else {
+    let Dispatch::Multiple(all) = agent.handle(&message, 0, now) else {
         panic!("expected the packet to be delivered and forwarded");
     };
     assert_eq!(all[0], Dispatch::Deliver(key));
-    let Dispatch::PassOn(ways) = &all[1] else {
+    let Dispatch::PassOn(next_hops) = &all[1] else {
         panic!("expected the packet to be forwarded to the claimant");
     };
-    assert_eq!((ways[0].target.0, ways[0].delivery), (claimant, Delivery::Forwarded));
+    assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (claimant, Delivery::Forwarded));
 }
 
 /// The client takes up another agent's answer, and that agent's claim arrives only after the client's
@@ -65,11 +65,13 @@
     let request = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &request));
     assert_eq!(agent.handle(&message, 0, now), Dispatch::Deliver(key));
-    let Dispatch::Release { packets, pass_on } = agent.handle(&claim(claimant, key), 0, now) else {
+    let Dispatch::ForwardBuffered { packets, next_hop } =
+        agent.handle(&claim(claimant, key), 0, now)
+    else {
         panic!("expected the request to be forwarded to the claimant");
     };
     assert_eq!(packets, [request]);
-    assert_eq!((pass_on.target.0, pass_on.delivery), (claimant, Delivery::Forwarded));
+    assert_eq!((next_hop.target.0, next_hop.delivery), (claimant, Delivery::Forwarded));
 }
 
 /// The sequence numbers of a long flow advance until they name another target. That target's agent
@@ -83,12 +85,12 @@
     let mut agent = agent(named, &document);
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(named, Delivery::Hinted, &packet));
-    let Dispatch::PassOn(ways) = agent.handle(&message, 0, Instant::now()) else {
+    let Dispatch::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
         panic!("expected the packet to be passed on");
     };
-    assert_eq!((ways[0].target.0, ways[0].delivery), (owner_target, Delivery::Owner));
+    assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (owner_target, Delivery::Owner));
     // Timestamps name the same target throughout a flow, so this flow was held here.
     let packet = segment(40_000, false, true);
     let message = AgentMessage::Packet(envelope(named, Delivery::Hinted, &packet));
-    assert!(matches!(agent.handle(&message, 0, Instant::now()), Dispatch::Ask { .. }));
+    assert!(matches!(agent.handle(&message, 0, Instant::now()), Dispatch::Query { .. }));
 }
--- a/crates/agent/tests/dispatch.rs
+++ b/crates/agent/tests/dispatch.rs
@@ -67,11 +67,11 @@
     let draining = owner(&before, &packet);
     let mut agent = agent(draining, &document(2, &[draining]));
     let message = AgentMessage::Packet(envelope(draining, Delivery::Owner, &packet));
-    let Dispatch::PassOn(ways) = agent.handle(&message, 0, Instant::now()) else {
+    let Dispatch::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
         panic!("expected the draining target to pass the flow on");
     };
-    assert_eq!(ways.len(), 1);
-    assert_ne!(ways[0].target.0, draining);
+    assert_eq!(next_hops.len(), 1);
+    assert_ne!(next_hops[0].target.0, draining);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let packet = segment(40_000, true, true);
     let owner = owner(&document, &packet);
     let mut agent = agent(owner, &document);
-    agent.begin_stop();
+    agent.begin_shutdown();
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
     assert!(matches!(agent.handle(&message, 0, Instant::now()), Dispatch::PassOn(_)));
 }
@@ -93,7 +93,7 @@
     let mut agent = agent(owner, &document);
     let start = Instant::now();
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
-    let Dispatch::Ask { query, agents } = agent.handle(&message, 0, start) else {
+    let Dispatch::Query { query, agents } = agent.handle(&message, 0, start) else {
         panic!("expected the owner to query the other agents first");
     };
     assert_eq!(agents.len(), usize::from(AGENTS) - 1);
@@ -106,13 +106,13 @@
             holding: Holding::Not,
         })
     };
-    let others: Vec<u16> = (0..AGENTS).filter(|&target| target != owner).collect();
-    for &other in &others[1..] {
+    let other_targets: Vec<u16> = (0..AGENTS).filter(|&target| target != owner).collect();
+    for &other in &other_targets[1..] {
         agent.handle(&answer(other), 0, start);
     }
     let later = start + Duration::from_secs(3);
-    assert!(matches!(agent.handle(&message, 0, later), Dispatch::Ask { .. }));
-    agent.handle(&answer(others[0]), 0, later);
+    assert!(matches!(agent.handle(&message, 0, later), Dispatch::Query { .. }));
+    agent.handle(&answer(other_targets[0]), 0, later);
     assert!(matches!(agent.handle(&message, 0, later), Dispatch::Reset { .. }));
 }
 
@@ -129,7 +129,7 @@
     let mut fresh = envelope(own, Delivery::Owner, &packet);
     fresh.revision = 2;
     let message = AgentMessage::Packet(fresh);
-    let Dispatch::Ask { query, .. } = agent.handle(&message, 0, now) else {
+    let Dispatch::Query { query, .. } = agent.handle(&message, 0, now) else {
         panic!("expected the owner to query the other agents");
     };
     let denial = HolderAnswer {
@@ -178,7 +178,7 @@
     };
     holder.flows.insert(key, (), now).expect("inserted");
     assert!(
-        holder.opened(&key, false).is_none(),
+        holder.note_opened(&key, false).is_none(),
         "the holder is the owner, so there is nothing to announce"
     );
     let view = AgentView::build(&after, &KEY, TargetId(old_owner));
@@ -205,19 +205,22 @@
     holder.flows.insert(key, (), now).expect("inserted");
     let mut owner = agent(owner_target, &document);
     let claim = AgentMessage::HolderAnswer(announcement.answer);
-    assert_eq!(owner.handle(&claim, 0, now), Dispatch::Learned);
+    assert_eq!(owner.handle(&claim, 0, now), Dispatch::Recorded);
     // A retransmitted opening packet goes to the same agent.
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &opening));
-    let Dispatch::PassOn(ways) = owner.handle(&message, 0, now) else {
+    let Dispatch::PassOn(next_hops) = owner.handle(&message, 0, now) else {
         panic!("expected the owner to pass the packet to the claimant");
     };
-    assert_eq!((ways[0].target.0, ways[0].delivery), (holder_target, Delivery::Assigned));
+    assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (holder_target, Delivery::Assigned));
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
-    let Dispatch::PassOn(ways) = owner.handle(&message, 0, now) else {
+    let Dispatch::PassOn(next_hops) = owner.handle(&message, 0, now) else {
         panic!("expected the owner to forward the packet");
     };
-    assert_eq!((ways[0].target.0, ways[0].delivery), (holder_target, Delivery::Forwarded));
+    assert_eq!(
+        (next_hops[0].target.0, next_hops[0].delivery),
+        (holder_target, Delivery::Forwarded)
+    );
     let message = AgentMessage::Packet(envelope(holder_target, Delivery::Forwarded, &packet));
     assert_eq!(holder.handle(&message, 0, now), Dispatch::Deliver(key));
 }
@@ -241,7 +244,9 @@
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
     let targets = |dispatch| match dispatch {
-        Dispatch::PassOn(ways) => ways.iter().map(|way| way.target.0).collect::<Vec<_>>(),
+        Dispatch::PassOn(next_hops) => {
+            next_hops.iter().map(|next_hop| next_hop.target.0).collect::<Vec<_>>()
+        }
         other => panic!("expected PassOn, found {other:?}"),
     };
     assert_eq!(targets(owner.handle(&message, 0, now)), claimants);
@@ -267,11 +272,11 @@
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &packet));
     assert_eq!(agent.handle(&message, 0, start), Dispatch::Deliver(key));
     let later = start + Duration::from_secs(1);
-    let Dispatch::Several(all) = agent.handle(&message, 0, later) else {
+    let Dispatch::Multiple(all) = agent.handle(&message, 0, later) else {
         panic!("expected the agent to deliver the packet and query the other agents");
     };
     assert_eq!(all[0], Dispatch::Deliver(key));
-    let Dispatch::Ask { query, .. } = all[1] else {
+    let Dispatch::Query { query, .. } = all[1] else {
         panic!("expected a query to the other agents");
     };
     let open = HolderAnswer {
@@ -281,11 +286,11 @@
         flow: query.flow,
         holding: Holding::Open,
     };
-    let Dispatch::Several(all) = agent.handle(&AgentMessage::HolderAnswer(open), 0, later) else {
+    let Dispatch::Multiple(all) = agent.handle(&AgentMessage::HolderAnswer(open), 0, later) else {
         panic!("expected the agent to abandon the flow and forward its packets");
     };
     assert_eq!(all[0], Dispatch::Abandon(key));
-    let Dispatch::Release { packets, pass_on } = &all[1] else {
+    let Dispatch::ForwardBuffered { packets, next_hop } = &all[1] else {
         panic!("expected the buffered packets to be forwarded");
     };
     assert_eq!(
@@ -293,7 +298,7 @@
         &[packet.clone(), packet.clone()],
         "packets buffered before and during the query"
     );
-    assert_eq!(pass_on.target.0, open.from);
+    assert_eq!(next_hop.target.0, open.from);
 }
 
 #[test]
@@ -302,19 +307,19 @@
     let opening = segment(40_000, true, true);
     let table = RoutingTable::build(&document, &KEY);
     let route = table.route(&decode_packet(&opening).expect("valid packet")).expect("route");
-    let deputy_target = route.standby.expect("a standby owner").target.0;
-    let copy = AgentMessage::Packet(envelope(deputy_target, Delivery::Standby, &opening));
+    let standby_target = route.standby.expect("a standby owner").target.0;
+    let copy = AgentMessage::Packet(envelope(standby_target, Delivery::Standby, &opening));
     let start = Instant::now();
     let later = start + Duration::from_secs(1);
 
-    let mut deputy = agent(deputy_target, &document);
-    assert_eq!(deputy.handle(&copy, 0, start), Dispatch::Learned);
-    assert_eq!(deputy.take_due_standby(start), None);
-    let due = deputy.take_due_standby(later).expect("unclaimed standby copy is due");
+    let mut standby_owner = agent(standby_target, &document);
+    assert_eq!(standby_owner.handle(&copy, 0, start), Dispatch::Recorded);
+    assert_eq!(standby_owner.take_due_standby(start), None);
+    let due = standby_owner.take_due_standby(later).expect("unclaimed standby copy is due");
     assert_eq!(due.packet, opening);
 
-    let mut deputy = agent(deputy_target, &document);
-    deputy.handle(&copy, 0, start);
+    let mut standby_owner = agent(standby_target, &document);
+    standby_owner.handle(&copy, 0, start);
     let claim = HolderAnswer {
         service: 1,
         from: route.target.0,
@@ -322,15 +327,15 @@
         flow: due.key.into(),
         holding: Holding::Opening,
     };
-    deputy.handle(&AgentMessage::HolderAnswer(claim), 0, start);
-    assert_eq!(deputy.take_due_standby(later), None);
+    standby_owner.handle(&AgentMessage::HolderAnswer(claim), 0, start);
+    assert_eq!(standby_owner.take_due_standby(later), None);
 
     // The standby owner itself has admitted the flow, and the flow has already ended.
-    let mut deputy = agent(deputy_target, &document);
-    deputy.handle(&copy, 0, start);
-    deputy.flows.insert(due.key, (), start).expect("inserted");
-    deputy.flows.remove(&due.key, start);
-    assert_eq!(deputy.take_due_standby(later), None);
+    let mut standby_owner = agent(standby_target, &document);
+    standby_owner.handle(&copy, 0, start);
+    standby_owner.flows.insert(due.key, (), start).expect("inserted");
+    standby_owner.flows.remove(&due.key, start);
+    assert_eq!(standby_owner.take_due_standby(later), None);
 }
 
 #[test]
@@ -348,13 +353,13 @@
         panic!("expected the first owner to admit the flow");
     };
     holder.flows.insert(key, (), now).expect("inserted");
-    holder.opened(&key, false);
+    holder.note_opened(&key, false);
     holder.apply(AgentView::build(&after, &KEY, TargetId(old_owner)), now);
 
     let mut new_owner = agent(new_owner_target, &after);
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(new_owner_target, Delivery::Owner, &packet));
-    let Dispatch::Ask { query, .. } = new_owner.handle(&message, 0, now) else {
+    let Dispatch::Query { query, .. } = new_owner.handle(&message, 0, now) else {
         panic!("expected the new owner to query the other agents");
     };
     let Dispatch::Answer { answer, .. } = holder.handle(&AgentMessage::HolderQuery(query), 0, now)
@@ -362,12 +367,12 @@
         panic!("expected the holder to answer the query");
     };
     assert_eq!(answer.holding, Holding::Open);
-    let released = new_owner.handle(&AgentMessage::HolderAnswer(answer), 0, now);
-    let Dispatch::Release { packets, pass_on } = released else {
+    let forwarded = new_owner.handle(&AgentMessage::HolderAnswer(answer), 0, now);
+    let Dispatch::ForwardBuffered { packets, next_hop } = forwarded else {
         panic!("expected the buffered packet to be forwarded");
     };
     assert_eq!(packets, [packet]);
-    assert_eq!(pass_on.target.0, old_owner);
+    assert_eq!(next_hop.target.0, old_owner);
 }
 
 #[test]
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -53,15 +53,11 @@
 
 /// The dispatcher of a warm agent, which admits new flows without comparing candidates.
 pub fn agent(target: u16, document: &ConfigDocument) -> Dispatcher<()> {
-    agent_that_compares(1, target, document)
+    comparing_agent(1, target, document)
 }
 
 /// The dispatcher of a warm agent that compares up to `candidates` targets for a new flow.
-pub fn agent_that_compares(
-    candidates: u8,
-    target: u16,
-    document: &ConfigDocument,
-) -> Dispatcher<()> {
+pub fn comparing_agent(candidates: u8, target: u16, document: &ConfigDocument) -> Dispatcher<()> {
     let target = TargetId(target);
     let view = AgentView::build(document, &KEY, target);
     let start = Instant::now();
--- a/crates/agent/tests/unclaimed_offers.rs
+++ b/crates/agent/tests/unclaimed_offers.rs
@@ -8,7 +8,7 @@
 use weirhinge_packet::{FlowKey, decode_packet};
 use weirhinge_wire::{AgentMessage, Delivery, HolderAnswer, Holding};
 
-use support::{AGENTS, agent_that_compares, document, envelope, owner, segment};
+use support::{AGENTS, comparing_agent, document, envelope, owner, segment};
 
 /// Number of candidates compared for a new flow.
 const CANDIDATES: u8 = 3;
@@ -31,7 +31,7 @@
     let opening = segment(40_000, true, false);
     let key = decode_packet(&opening).expect("valid packet").key;
     let target = owner(&document, &opening);
-    let mut agent = agent_that_compares(CANDIDATES, target, &document);
+    let mut agent = comparing_agent(CANDIDATES, target, &document);
     let at = Instant::now();
     let message = AgentMessage::Packet(envelope(target, Delivery::Owner, &opening));
     let offered = agent.handle(&message, IN_FLIGHT, at);
@@ -53,7 +53,7 @@
 fn owner_admits_unclaimed_offer() {
     let mut offered = offered_by_owner();
     let due_at = offered.at + CLAIMED_BY;
-    assert!(offered.agent.next_standby().is_some_and(|due| due <= due_at));
+    assert!(offered.agent.next_opening_due().is_some_and(|due| due <= due_at));
     assert_eq!(
         offered.agent.take_due_offer(offered.at),
         None,
@@ -92,7 +92,7 @@
     let opening = segment(40_000, true, false);
     let owner_target = owner(&document, &opening);
     for target in (0..AGENTS).filter(|&target| target != owner_target) {
-        let mut agent = agent_that_compares(CANDIDATES, target, &document);
+        let mut agent = comparing_agent(CANDIDATES, target, &document);
         let best = weirhinge_wire::Offer { best: owner_target, best_load: 0, visited: 1 };
         let message = AgentMessage::Packet(envelope(target, Delivery::Offered(best), &opening));
         let now = Instant::now();
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -23,9 +23,9 @@
 /// Header with the client's idempotency key: a write repeated with the same key is applied once.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Maximum length of an idempotency key, in bytes.
-const MAXIMUM_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 /// Maximum size of a request body, in bytes.
-const MAXIMUM_BODY: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 /// Name of the request body in error messages.
 const BODY: &str = "body";
 
@@ -85,14 +85,14 @@
         return Err(eyre!("bind API at {address}: only loopback is allowed without TLS"));
     }
     let api = describe_api()?;
-    let quiet =
+    let warnings_only =
         Logger::root(slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse(), slog::o!());
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MAXIMUM_BODY,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
         ..Default::default()
     };
-    let server = ServerBuilder::new(api, ApiContext { control }, quiet)
+    let server = ServerBuilder::new(api, ApiContext { control }, warnings_only)
         .config(config)
         .start()
         .wrap_err_with(|| format!("start API at {address}"))?;
@@ -119,7 +119,7 @@
 ) -> Result<Response<Body>, HttpError> {
     let document = request.context().control.document().borrow().clone();
     if document.revision == 0 {
-        return Err(refusal(StatusCode::NOT_FOUND, "no configuration is agreed on yet"));
+        return Err(error_response(StatusCode::NOT_FOUND, "no configuration is agreed on yet"));
     }
     let tag = format!("\"{}\"", document.revision);
     let known = request.request.headers().get(header::IF_NONE_MATCH);
@@ -135,7 +135,7 @@
     request: RequestContext<ApiContext>,
     body: UntypedBody,
 ) -> Result<Response<Body>, HttpError> {
-    let mut document: ConfigDocument = read(&body)?;
+    let mut document: ConfigDocument = parse_body(&body)?;
     // The balancer group assigns the revision; the one in the request is ignored.
     document.revision = 1;
     write(&request, ConfigChange::Replace(document)).await
@@ -148,8 +148,8 @@
     path: Path<NumberedPath>,
     body: UntypedBody,
 ) -> Result<Response<Body>, HttpError> {
-    let service: Service = read(&body)?;
-    check_id(path.into_inner().id, service.id.0)?;
+    let service: Service = parse_body(&body)?;
+    check_id_matches_path(path.into_inner().id, service.id.0)?;
     write(&request, ConfigChange::PutService(service)).await
 }
 
@@ -170,8 +170,8 @@
     path: Path<NumberedPath>,
     body: UntypedBody,
 ) -> Result<Response<Body>, HttpError> {
-    let target: Target = read(&body)?;
-    check_id(path.into_inner().id, u32::from(target.id.0))?;
+    let target: Target = parse_body(&body)?;
+    check_id_matches_path(path.into_inner().id, u32::from(target.id.0))?;
     write(&request, ConfigChange::PutTarget(target)).await
 }
 
@@ -182,7 +182,7 @@
     path: Path<NumberedPath>,
 ) -> Result<Response<Body>, HttpError> {
     let id = u16::try_from(path.into_inner().id)
-        .map_err(|_| refusal(StatusCode::NOT_FOUND, "not applied: no target has this id"))?;
+        .map_err(|_| error_response(StatusCode::NOT_FOUND, "not applied: no target has this id"))?;
     write(&request, ConfigChange::DeleteTarget(TargetId(id))).await
 }
 
@@ -199,64 +199,64 @@
 ) -> Result<Response<Body>, HttpError> {
     let headers = request.request.headers();
     let key = match headers.get(IDEMPOTENCY_KEY) {
-        Some(key) => read_key(key)?,
+        Some(key) => parse_key(key)?,
         None => request.request_id.clone(),
     };
-    let expected = headers.get(header::IF_MATCH).map(read_revision).transpose()?;
+    let expected = headers.get(header::IF_MATCH).map(parse_revision).transpose()?;
     let command = ConfigCommand { key, expected, change };
     match request.context().control.write(command).await {
         Ok(Outcome::Accepted { revision }) => {
             let tag = format!("\"{revision}\"");
             respond(StatusCode::OK, Some(tag), encode(&Accepted { revision })?)
         }
-        Ok(Outcome::Conflict { revision }) => Err(refusal(
+        Ok(Outcome::Conflict { revision }) => Err(error_response(
             StatusCode::PRECONDITION_FAILED,
             &format!("not applied: revision {revision} is in force"),
         )),
         Ok(Outcome::Invalid { reason }) => {
-            Err(refusal(StatusCode::BAD_REQUEST, &format!("not applied: {reason}")))
+            Err(error_response(StatusCode::BAD_REQUEST, &format!("not applied: {reason}")))
         }
         Err(error @ WriteError::NoLeader) => {
-            Err(refusal(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()))
+            Err(error_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()))
         }
         Err(error @ WriteError::Unknown) => {
-            Err(refusal(StatusCode::GATEWAY_TIMEOUT, &error.to_string()))
+            Err(error_response(StatusCode::GATEWAY_TIMEOUT, &error.to_string()))
         }
     }
 }
 
-fn read<T: DeserializeOwned>(body: &UntypedBody) -> Result<T, HttpError> {
+fn parse_body<T: DeserializeOwned>(body: &UntypedBody) -> Result<T, HttpError> {
     parse::from_json(BODY, body.as_bytes())
-        .map_err(|error| refusal(StatusCode::BAD_REQUEST, &format!("not applied: {error}")))
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &format!("not applied: {error}")))
 }
 
-fn read_key(value: &http::HeaderValue) -> Result<String, HttpError> {
+fn parse_key(value: &http::HeaderValue) -> Result<String, HttpError> {
     match value.to_str() {
-        Ok(key) if !key.is_empty() && key.len() <= MAXIMUM_KEY => Ok(key.to_owned()),
-        _ => Err(refusal(
+        Ok(key) if !key.is_empty() && key.len() <= MAX_KEY_BYTES => Ok(key.to_owned()),
+        _ => Err(error_response(
             StatusCode::BAD_REQUEST,
             "not applied: header idempotency-key: expected 1 to 128 printable characters",
         )),
     }
 }
 
-fn read_revision(value: &http::HeaderValue) -> Result<u64, HttpError> {
+fn parse_revision(value: &http::HeaderValue) -> Result<u64, HttpError> {
     let text = value.to_str().unwrap_or_default();
     text.trim_matches('"').parse().map_err(|_| {
-        refusal(
+        error_response(
             StatusCode::BAD_REQUEST,
             "not applied: header if-match: expected a revision, such as \"12\"",
         )
     })
 }
 
-fn check_id(path: u32, body: u32) -> Result<(), HttpError> {
+fn check_id_matches_path(path: u32, body: u32) -> Result<(), HttpError> {
     if path == body {
         return Ok(());
     }
     let reason =
         format!("not applied: {BODY}: field id: found {body}, expected {path} as in the path");
-    Err(refusal(StatusCode::BAD_REQUEST, &reason))
+    Err(error_response(StatusCode::BAD_REQUEST, &reason))
 }
 
 fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, HttpError> {
@@ -278,7 +278,7 @@
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
-fn refusal(status: StatusCode, message: &str) -> HttpError {
+fn error_response(status: StatusCode, message: &str) -> HttpError {
     let message = message.to_owned();
     let status = dropshot::ErrorStatusCode::try_from(status)
         .unwrap_or(dropshot::ErrorStatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/balancer/src/data_path.rs
+++ b/crates/balancer/src/data_path.rs
@@ -43,9 +43,9 @@
         loop {
             incoming.receive(&self.socket)?;
             let stopping = self.stopping.load(Ordering::Relaxed);
-            let stop_began = stopping && !was_stopping;
+            let shutdown_began = stopping && !was_stopping;
             was_stopping = stopping;
-            if incoming.datagrams().next().is_some() || stop_began {
+            if incoming.datagrams().next().is_some() || shutdown_began {
                 last_packet = Instant::now();
             }
             if stopping && last_packet.elapsed() >= QUIET_BEFORE_STOP {
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -20,7 +20,7 @@
 
 /// Size of the receive buffer requested from the kernel, in bytes. Holds the packets that arrive
 /// while the data path is briefly paused.
-const RECEIVE_BUFFER: usize = 8 << 20;
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 
 struct BalancerHealth {
     settings: BalancerSettings,
@@ -79,7 +79,8 @@
         batch: settings.batch,
     };
     let ended = start_data_path(data_path)?;
-    let (base, followed_base) = watch::channel(Arc::new(ConfigDocument::default()));
+    let (platform_document, platform_documents) =
+        watch::channel(Arc::new(ConfigDocument::default()));
     let control_options = ControlOptions {
         listen: settings.control,
         zone: settings.common.zone.clone(),
@@ -88,7 +89,7 @@
         peers: settings.peers.clone(),
         founds: settings.found_group,
     };
-    let control = start_control(control_options, followed_base.clone(), log.clone()).await?;
+    let control = start_control(control_options, platform_documents.clone(), log.clone()).await?;
     let api = start_api(settings.api, control.clone(), &log)?;
     info!(log, "balancer: Started."; "data" => %data, "admin" => %admin.address(),
         "control" => %control.address, "api" => %api.address());
@@ -107,10 +108,10 @@
         log: FollowerLog { log: log.clone(), part: "balancer" },
     };
     let follow = follower.run(move |document| {
-        base.send_replace(document);
+        platform_document.send_replace(document);
     });
     let revision = metrics.revision.clone();
-    let put_in_force = put_in_force(followed_base, control.document(), move |document| {
+    let apply_newest = apply_newest(platform_documents, control.document(), move |document| {
         let next = table.load().rebuild(document);
         table.store(Arc::new(next));
         revision.set(i64::try_from(document.revision).unwrap_or(i64::MAX));
@@ -123,7 +124,7 @@
     };
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
-        () = put_in_force => Err(eyre!("apply configuration: ended unexpectedly")),
+        () = apply_newest => Err(eyre!("apply configuration: ended unexpectedly")),
         () = stopped => Err(eyre!("wait for shutdown: ended unexpectedly")),
         result = ended => {
             result.wrap_err("data path: thread ended without a result")??;
@@ -135,25 +136,25 @@
 
 /// Applies each new document: the one that the balancers have agreed on if there is one, else the
 /// platform's. Never applies a document with a lower revision than the last one applied.
-async fn put_in_force(
-    mut base: watch::Receiver<Arc<ConfigDocument>>,
+async fn apply_newest(
+    mut platform_document: watch::Receiver<Arc<ConfigDocument>>,
     mut agreed: watch::Receiver<Arc<ConfigDocument>>,
     mut apply: impl FnMut(&ConfigDocument),
 ) {
-    let mut in_force = 0;
+    let mut applied_revision = 0;
     loop {
         let newest = {
             let agreed = agreed.borrow_and_update().clone();
-            let base = base.borrow_and_update().clone();
-            if agreed.revision > 0 { agreed } else { base }
+            let platform_document = platform_document.borrow_and_update().clone();
+            if agreed.revision > 0 { agreed } else { platform_document }
         };
-        if newest.revision > in_force {
-            in_force = newest.revision;
+        if newest.revision > applied_revision {
+            applied_revision = newest.revision;
             apply(&newest);
         }
         // Both senders exist until the daemon exits.
         let changed = tokio::select! {
-            changed = base.changed() => changed,
+            changed = platform_document.changed() => changed,
             changed = agreed.changed() => changed,
         };
         if changed.is_err() {
@@ -169,7 +170,7 @@
         .set_read_timeout(Some(RECEIVE_TIMEOUT))
         .wrap_err("set the data socket's read timeout")?;
     // The kernel may grant a smaller buffer; that is not an error.
-    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
+    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     Ok(socket)
 }
 
