--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -13,8 +13,8 @@
 /// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
 /// have its previous holder.
 pub const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A flow that is still half-open this long after its admission may be open at another agent, so the
-/// other agents are queried.
+/// A flow that is still half-open this long after its admission may be open at another agent, so
+/// the other agents are queried.
 const SUSPICIOUS_OPENING_AGE: Duration = Duration::from_millis(500);
 
 impl<H> Dispatcher<H> {
@@ -41,8 +41,8 @@
         Dispatch::Multiple(vec![Dispatch::Deliver(key), further])
     }
 
-    /// Notes that the handshake of a flow held here is complete. Packets without timestamps carry no
-    /// holder hint and go to the bucket's owner, so the owner is notified.
+    /// Notes that the handshake of a flow held here is complete. Packets without timestamps may
+    /// carry no holder hint and go to the bucket's owner, so the owner is notified.
     pub fn note_opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
         self.flows.mark_open(key, has_timestamps);
         self.directory.forget(key);
@@ -119,7 +119,7 @@
             .filter(|&owner| hinted_by_sequence && owner != self.own_target)
     }
 
-    /// Answers a forwarded packet whose flow is not held here. Another agent, as a rule the bucket's
+    /// Answers a forwarded packet whose flow is not held here. Another agent, usually the bucket's
     /// owner, assumes that it is; the owner is notified that it is not.
     pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Dispatch {
         match self.announcement(&arrival.view.key, Holding::Not) {
@@ -161,6 +161,8 @@
         }
     }
 
+    /// Looks up which agents may hold the packet's flow. The directory buffers the packet while the
+    /// holder is unknown.
     pub(super) fn locate(&mut self, arrival: &Arrival<'_>) -> LookupStep {
         let other_targets = self.other_targets();
         self.directory.locate(
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -219,8 +219,8 @@
         self.directory.expire(now);
     }
 
-    /// Decides about one message. `in_flight` is the current number of flows that wait for an answer
-    /// of the back end.
+    /// Decides about one message. `in_flight` is the current number of flows that wait for an
+    /// answer of the back end.
     pub fn handle(&mut self, message: &AgentMessage<'_>, in_flight: u32, now: Instant) -> Dispatch {
         self.newest_revision_seen = self.newest_revision_seen.max(message.revision());
         match message {
--- a/crates/agent/src/dispatch/opening.rs
+++ b/crates/agent/src/dispatch/opening.rs
@@ -32,7 +32,8 @@
     }
 
     /// Handles the copy of an opening packet that the balancer sends to the bucket's standby owner.
-    /// The copy is queued, unless the owner is unresponsive or is this agent itself.
+    /// The copy is dropped if the flow is claimed. It is queued otherwise, unless the owner is
+    /// unresponsive or is this agent itself: then the flow is decided about at once.
     pub(super) fn queue_standby(&mut self, arrival: &Arrival<'_>) -> Dispatch {
         let key = arrival.view.key;
         let owner = self.owner(&key).filter(|&owner| owner != self.own_target);
@@ -166,8 +167,8 @@
     }
 }
 
-/// Whether an agent has admitted the flow: another agent that has claimed it, or this one, where the
-/// flow may have ended already.
+/// Whether an agent has admitted the flow: another agent that has claimed it, or this one, where
+/// the flow may have ended already.
 fn is_claimed<H>(
     directory: &HolderDirectory,
     flows: &mut FlowTable<H>,
--- a/crates/agent/src/execute.rs
+++ b/crates/agent/src/execute.rs
@@ -47,7 +47,7 @@
                 }
             }
             (Dispatch::Abandon(key), _) => {
-                // The flow's task ends without a reset once its queue is closed.
+                // The task of a half-open flow ends without a reset once its queue is closed.
                 self.dispatcher.flows.release(&key);
             }
             (Dispatch::Query { query, agents }, _) => self.query_holders(query, &agents),
--- a/crates/agent/src/flow_log.rs
+++ b/crates/agent/src/flow_log.rs
@@ -58,7 +58,8 @@
 
 /// Logs that the back end accepted no connection for a flow.
 pub(crate) fn log_not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
-    debug!(log, "agent: Flow could not be connected to the back end."; "flow" => %key, "reason" => reason.name());
+    debug!(log, "agent: Flow could not be connected to the back end.";
+        "flow" => %key, "reason" => reason.name());
 }
 
 /// Logs that a flow has ended.
--- a/crates/agent/src/flows.rs
+++ b/crates/agent/src/flows.rs
@@ -130,7 +130,8 @@
         }
         self.dispatcher.flows.release(&flow.key);
         self.dispatcher.suspect_back_end(Instant::now());
-        warn!(self.log, "agent: Back end does not accept connections; new flows go to other targets for a while."; "reason" => reason.name());
+        warn!(self.log, "agent: Back end accepts no connections; new flows go to other targets.";
+            "reason" => reason.name());
         self.handle_kept_packet(Delivery::Forwarded, packet);
     }
 
--- a/crates/agent/src/load.rs
+++ b/crates/agent/src/load.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Notes that the back end has answered or that no answer is expected any more: the flow is not in
-    /// flight.
+    /// Notes that the back end has answered or that no answer is expected any more: the flow is not
+    /// in flight.
     pub(crate) fn note_answered(&self) {
         if self.waiting.swap(false, Ordering::Relaxed) {
             self.in_flight.count.fetch_sub(1, Ordering::Relaxed);
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -34,9 +34,10 @@
 /// After the last flow of a graceful shutdown has ended, the agent still passes on packets from
 /// balancers with a stale configuration. It exits once no datagram has arrived for this long.
 const QUIET_BEFORE_STOP: Duration = Duration::from_secs(2);
-/// Time for the resets of aborted flows to be sent.
+/// Time for the flows' tasks to send resets before the process exits.
 const RESET_SEND_TIME: Duration = Duration::from_millis(500);
-/// The agent exits this long after the graceful shutdown began, even if datagrams still arrive.
+/// Once no flow is open, the agent exits this long after the graceful shutdown began, even if
+/// datagrams still arrive.
 const MAX_QUIET_WAIT: Duration = Duration::from_secs(10);
 
 /// State that the main loop shares with the health endpoint.
@@ -209,7 +210,9 @@
                     self.receive_burst();
                 }
                 Some(event) = events.recv() => self.handle_event(event),
-                () = sleep_until_due(self.dispatcher.next_opening_due()) => self.handle_due_openings(),
+                () = sleep_until_due(self.dispatcher.next_opening_due()) => {
+                    self.handle_due_openings();
+                }
                 Some(view) = documents.recv() => self.apply(view),
                 _ = housekeeping.tick() => {
                     self.run_housekeeping();
@@ -255,7 +258,8 @@
             let passed = deadline.is_some_and(|deadline| began.elapsed() >= deadline);
             if passed {
                 self.metrics.flows_broken.inc_by(flows as u64);
-                warn!(self.log, "agent: Shutdown deadline passed; resetting open flows."; "cut" => flows);
+                warn!(self.log, "agent: Shutdown deadline passed; resetting open flows.";
+                    "cut" => flows);
             }
             return passed;
         }
--- a/crates/agent/src/timestamps.rs
+++ b/crates/agent/src/timestamps.rs
@@ -1,7 +1,7 @@
 //! The source of TCP timestamp values, which carry the holder hint.
 //!
-//! `smoltcp` accepts only a function pointer without state, so the process's hint and start time are
-//! kept in a static that is set once.
+//! `smoltcp` accepts only a function pointer without state, so the process's hint and start time
+//! are kept in a static that is set once.
 
 use std::sync::OnceLock;
 use std::time::Instant;
--- a/crates/agent/tests/competing_claims.rs
+++ b/crates/agent/tests/competing_claims.rs
@@ -1,5 +1,5 @@
-//! Packets reach the agent that holds their flow even if two agents have answered the opening packet
-//! or the packet's holder hint names another agent.
+//! Packets reach the agent that holds their flow even if two agents have answered the opening
+//! packet or the packet's holder hint names another agent.
 
 mod support;
 
@@ -47,8 +47,8 @@
     assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (claimant, Delivery::Forwarded));
 }
 
-/// The client takes up another agent's answer, and that agent's claim arrives only after the client's
-/// first request has been delivered to the half-open flow here.
+/// The client takes up another agent's answer, and that agent's claim arrives only after the
+/// client's first request has been delivered to the half-open flow here.
 #[test]
 fn late_claimant_receives_packets_delivered_to_half_open_flow() {
     let document = document(1, &[]);
--- a/crates/agent/tests/unclaimed_offers.rs
+++ b/crates/agent/tests/unclaimed_offers.rs
@@ -84,8 +84,8 @@
     assert_eq!(offered.agent.take_due_offer(offered.at + CLAIMED_BY), None);
 }
 
-/// A candidate that passes an offer on receives no claims. If it waited for one, it would admit every
-/// such flow a second time.
+/// A candidate that passes an offer on receives no claims. If it waited for one, it would admit
+/// every such flow a second time.
 #[test]
 fn candidate_does_not_keep_passed_on_offer() {
     let document = document(1, &[]);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,5 +1,5 @@
-//! The balancer: receives packets from the fabric, routes each one without per-flow state, and sends
-//! it to the agent of its target.
+//! The balancer: receives packets from the fabric, routes each one without per-flow state, and
+//! sends it to the agent of its target.
 //!
 //! One operating-system thread runs the data path with blocking, batched system calls. Everything
 //! else (configuration, health, metrics, signals) runs on `tokio` and hands the data path a new
