--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -8,7 +8,7 @@
 use weirhinge_wire::{Delivery, HolderAnswer, HolderQuery, Holding};
 
 use super::{Announcement, Arrival, Dispatch, Dispatcher, MAX_HOPS, NextHop, reset};
-use crate::planted_defect::Plant;
+use crate::planted_defect::PlantedDefect;
 
 /// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
 /// have its previous holder.
@@ -89,7 +89,7 @@
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
-        if self.planted_defect == Some(Plant::ResetUnknown) {
+        if self.planted_defect == Some(PlantedDefect::ResetUnknown) {
             return reset(&arrival.view.key, segment, "planted");
         }
         if let Some(owner) = self.owner_of_misdirected(arrival, segment) {
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -16,7 +16,7 @@
 };
 use weirhinge_wire::{AgentMessage, Delivery, HolderAnswer, HolderQuery, Holding, PacketEnvelope};
 
-use crate::planted_defect::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::view::{AgentView, OwnTarget};
 
 pub use holders::UDP_IDLE_TIMEOUT;
@@ -138,7 +138,7 @@
     newest_revision_seen: u64,
     /// When the configuration first contained this agent's target.
     configured_since: Option<Instant>,
-    planted_defect: Option<Plant>,
+    planted_defect: Option<PlantedDefect>,
 }
 
 impl<H> Dispatcher<H> {
@@ -174,12 +174,12 @@
     }
 
     /// Returns the deliberate defect, if any.
-    pub fn planted_defect(&self) -> Option<Plant> {
+    pub fn planted_defect(&self) -> Option<PlantedDefect> {
         self.planted_defect
     }
 
     /// Enables a deliberate defect.
-    pub fn enable_defect(&mut self, planted_defect: Plant) {
+    pub fn enable_defect(&mut self, planted_defect: PlantedDefect) {
         self.planted_defect = Some(planted_defect);
     }
 
@@ -245,7 +245,7 @@
         };
         let destination = self.view.table.service_for(&view).map(|service| service.id);
         if let Err(error) = own.fence.check(envelope, destination)
-            && self.planted_defect != Some(Plant::NoFence)
+            && self.planted_defect != Some(PlantedDefect::NoFence)
         {
             return Dispatch::Drop(error.name());
         }
--- a/crates/agent/src/flows.rs
+++ b/crates/agent/src/flows.rs
@@ -12,7 +12,7 @@
 
 use crate::dispatch::Announcement;
 use crate::flow_log;
-use crate::planted_defect::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::run::{Agent, random_u64};
 use crate::tcp_flow::TcpFlow;
 use crate::udp_flow::UdpFlow;
@@ -79,7 +79,7 @@
                     in_flight,
                     events,
                     seed,
-                    initial_sequence: (!Plant::hides_holder(planted_defect))
+                    initial_sequence: (!PlantedDefect::hides_holder(planted_defect))
                         .then_some(initial_sequence),
                     planted_defect,
                 };
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -20,5 +20,5 @@
 mod udp_flow;
 pub mod view;
 
-pub use planted_defect::Plant;
+pub use planted_defect::PlantedDefect;
 pub use run::run;
--- a/crates/agent/src/planted_defect.rs
+++ b/crates/agent/src/planted_defect.rs
@@ -7,7 +7,7 @@
 
 /// A deliberate defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum PlantedDefect {
     /// Resets unknown flows without querying the other agents. The sequence numbers of the agent's
     /// own flows carry no holder hint, so that their packets reach agents that do not hold them.
     ResetUnknown,
@@ -21,14 +21,14 @@
     NoFence,
 }
 
-impl Plant {
+impl PlantedDefect {
     /// Whether the sequence numbers of the agent's flows carry no holder hint.
     pub(crate) fn hides_holder(planted_defect: Option<Self>) -> bool {
-        matches!(planted_defect, Some(Plant::ResetUnknown | Plant::NoNumberHint))
+        matches!(planted_defect, Some(PlantedDefect::ResetUnknown | PlantedDefect::NoNumberHint))
     }
 }
 
-impl FromStr for Plant {
+impl FromStr for PlantedDefect {
     type Err = String;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
@@ -36,10 +36,10 @@
             return Err("this build has no planted defects".to_owned());
         }
         match name {
-            "reset-unknown" => Ok(Plant::ResetUnknown),
-            "reset-early" => Ok(Plant::ResetEarly),
-            "no-fence" => Ok(Plant::NoFence),
-            "no-number-hint" => Ok(Plant::NoNumberHint),
+            "reset-unknown" => Ok(PlantedDefect::ResetUnknown),
+            "reset-early" => Ok(PlantedDefect::ResetEarly),
+            "no-fence" => Ok(PlantedDefect::NoFence),
+            "no-number-hint" => Ok(PlantedDefect::NoNumberHint),
             _ => Err(format!(
                 "{name:?}: expected reset-unknown, reset-early, no-fence or no-number-hint"
             )),
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -19,7 +19,7 @@
 use crate::flows::{FlowEvent, FlowHandle};
 use crate::load::InFlight;
 use crate::metrics::AgentMetrics;
-use crate::planted_defect::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::timestamps;
 use crate::view::AgentView;
 
@@ -91,7 +91,7 @@
 /// names the step and, if any, the address.
 pub async fn run(
     settings: AgentSettings,
-    planted_defect: Option<Plant>,
+    planted_defect: Option<PlantedDefect>,
     log: Logger,
     ready: impl FnOnce(BoundAddresses),
     stop: impl Future<Output = ()>,
--- a/crates/agent/src/tcp_flow.rs
+++ b/crates/agent/src/tcp_flow.rs
@@ -13,7 +13,7 @@
 use crate::fabric::FabricSink;
 use crate::flows::{FlowEvent, FlowId};
 use crate::load::InFlightGuard;
-use crate::planted_defect::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::timestamps;
 use crate::view::OwnTarget;
 
@@ -42,7 +42,7 @@
     /// The initial sequence number, which encodes this agent's target; random if `None`.
     pub(crate) initial_sequence: Option<u32>,
     /// The deliberate defect, if any.
-    pub(crate) planted_defect: Option<Plant>,
+    pub(crate) planted_defect: Option<PlantedDefect>,
 }
 
 struct Observer {
@@ -99,7 +99,7 @@
             seed: self.seed,
             timestamps: Some(timestamps::now),
             initial_sequence: self.initial_sequence,
-            resets_early: self.planted_defect == Some(Plant::ResetEarly),
+            resets_early: self.planted_defect == Some(PlantedDefect::ResetEarly),
         };
         let Ok(mut endpoint) = TcpEndpoint::listen(self.id.key.destination, options) else {
             return Err(self.not_opened(RefusalReason::BackEndRefused));
--- a/crates/weirhinge/src/cli/agent.rs
+++ b/crates/weirhinge/src/cli/agent.rs
@@ -1,7 +1,7 @@
 //! `weirhinge agent`.
 
 use pico_args::Arguments;
-use weirhinge_agent::Plant;
+use weirhinge_agent::PlantedDefect;
 
 use super::CliFailure;
 use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
@@ -26,7 +26,7 @@
         print!("{USAGE}{COMMON_OPTIONS}");
         return Ok(());
     }
-    let plant: Option<Plant> = option(&mut arguments, "--plant")?;
+    let plant: Option<PlantedDefect> = option(&mut arguments, "--plant")?;
     let options = read_options(arguments, |arguments, flags| {
         flags.target = option(arguments, "--target")?;
         flags.fabric = option(arguments, "--fabric")?;
