--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -7,7 +7,7 @@
 use weirhinge_packet::{FlowKey, TcpSegment};
 use weirhinge_wire::{Delivery, HolderAnswer, HolderQuery, Holding};
 
-use super::{Announcement, Arrival, Dispatch, Dispatcher, MAX_HOPS, NextHop, reset};
+use super::{Announcement, Arrival, Decision, Dispatcher, MAX_HOPS, NextHop, reset};
 use crate::planted_defect::PlantedDefect;
 
 /// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
@@ -20,25 +20,25 @@
 impl<H> Dispatcher<H> {
     /// Handles a packet of a flow that is half-open here. The client may have taken up another
     /// agent's answer instead; then its packets belong to that agent.
-    pub(super) fn deliver_to_opening(&mut self, arrival: &Arrival<'_>, age: Duration) -> Dispatch {
+    pub(super) fn deliver_to_opening(&mut self, arrival: &Arrival<'_>, age: Duration) -> Decision {
         let key = arrival.view.key;
         let opens = arrival.view.tcp().is_some_and(TcpSegment::opens_flow);
         if opens || arrival.envelope.delivery == Delivery::Forwarded {
-            return Dispatch::Deliver(key);
+            return Decision::Deliver(key);
         }
         let suspicious = age >= SUSPICIOUS_OPENING_AGE || self.directory.has_claim(&key);
         if !suspicious {
             // Another agent's claim may still arrive.
             self.directory.buffer_for_claimants(&key, arrival.envelope.packet, arrival.now);
-            return Dispatch::Deliver(key);
+            return Decision::Deliver(key);
         }
         let further = match self.locate(arrival) {
             LookupStep::Query => self.query_holders(arrival),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
             LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
-            LookupStep::Wait | LookupStep::Absent => return Dispatch::Deliver(key),
+            LookupStep::Wait | LookupStep::Absent => return Decision::Deliver(key),
         };
-        Dispatch::Multiple(vec![Dispatch::Deliver(key), further])
+        Decision::Multiple(vec![Decision::Deliver(key), further])
     }
 
     /// Notes that the handshake of a flow held here is complete. Packets without timestamps may
@@ -82,7 +82,7 @@
         &mut self,
         arrival: &Arrival<'_>,
         segment: &TcpSegment,
-    ) -> Dispatch {
+    ) -> Decision {
         if self.flows.is_quarantined(&arrival.view.key, arrival.now) {
             return reset(&arrival.view.key, segment, "ended_flow");
         }
@@ -97,10 +97,10 @@
         }
         match self.locate(arrival) {
             LookupStep::Query => self.query_holders(arrival),
-            LookupStep::Wait => Dispatch::Drop("awaiting_holder"),
+            LookupStep::Wait => Decision::Drop("awaiting_holder"),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
             LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
-            LookupStep::Absent if self.is_stale() => Dispatch::Drop("stale_view"),
+            LookupStep::Absent if self.is_stale() => Decision::Drop("stale_view"),
             LookupStep::Absent => reset(&arrival.view.key, segment, "unknown_flow"),
         }
     }
@@ -121,15 +121,15 @@
 
     /// Answers a forwarded packet whose flow is not held here. Another agent, usually the bucket's
     /// owner, assumes that it is; the owner is notified that it is not.
-    pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Decision {
         match self.announcement(&arrival.view.key, Holding::Not) {
-            Some(Announcement { agent, answer }) => Dispatch::Answer { agent, answer },
-            None => Dispatch::Drop("not_held"),
+            Some(Announcement { agent, answer }) => Decision::Answer { agent, answer },
+            None => Decision::Drop("not_held"),
         }
     }
 
     /// Handles a packet of a UDP flow that is not held here, whether the flow is new or not.
-    pub(super) fn handle_unknown_udp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn handle_unknown_udp(&mut self, arrival: &Arrival<'_>) -> Decision {
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
@@ -143,21 +143,21 @@
         if changed < UDP_IDLE_TIMEOUT {
             match self.locate(arrival) {
                 LookupStep::Query => return self.query_holders(arrival),
-                LookupStep::Wait => return Dispatch::Drop("awaiting_holder"),
+                LookupStep::Wait => return Decision::Drop("awaiting_holder"),
                 LookupStep::Forward(holders) => return self.forward(arrival, &holders),
                 LookupStep::ForwardAndQuery(holders) => {
                     return self.forward_and_query(arrival, &holders);
                 }
-                LookupStep::Absent if self.is_stale() => return Dispatch::Drop("stale_view"),
+                LookupStep::Absent if self.is_stale() => return Decision::Drop("stale_view"),
                 LookupStep::Absent => {}
             }
         }
         if !self.own_load(arrival).has_capacity() {
-            return Dispatch::Drop(RefusalReason::NoCapacity.name());
+            return Decision::Drop(RefusalReason::NoCapacity.name());
         }
         match self.flows.check_insert(&arrival.view.key, arrival.now) {
             Ok(()) => self.admit(arrival),
-            Err(error) => Dispatch::Drop(error.name()),
+            Err(error) => Decision::Drop(error.name()),
         }
     }
 
@@ -179,7 +179,7 @@
         members.iter().copied().filter(|&member| member != self.own_target).collect()
     }
 
-    pub(super) fn query_holders(&self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn query_holders(&self, arrival: &Arrival<'_>) -> Decision {
         let agents = self
             .other_targets()
             .into_iter()
@@ -191,27 +191,27 @@
             revision: self.view.table.revision(),
             flow: arrival.view.key.into(),
         };
-        Dispatch::Query { query, agents }
+        Decision::Query { query, agents }
     }
 
-    pub(super) fn forward(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Dispatch {
+    pub(super) fn forward(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Decision {
         if arrival.envelope.hops >= MAX_HOPS {
-            return Dispatch::Drop("too_many_hops");
+            return Decision::Drop("too_many_hops");
         }
         let delivery = Delivery::Forwarded;
         let next_hops = holders.iter().filter_map(|&target| {
             let agent = self.view.table.target(target)?.agent;
             Some(NextHop { agent, target, delivery })
         });
-        Dispatch::PassOn(next_hops.collect())
+        Decision::PassOn(next_hops.collect())
     }
 
     pub(super) fn forward_and_query(
         &self,
         arrival: &Arrival<'_>,
         holders: &[TargetId],
-    ) -> Dispatch {
-        Dispatch::Multiple(vec![self.forward(arrival, holders), self.query_holders(arrival)])
+    ) -> Decision {
+        Decision::Multiple(vec![self.forward(arrival, holders), self.query_holders(arrival)])
     }
 
     /// Whether a message has shown a newer revision than the one in effect here. Then a target may
@@ -220,15 +220,15 @@
         self.newest_revision_seen > self.view.table.revision()
     }
 
-    pub(super) fn handle_query(&self, query: &HolderQuery, now: Instant) -> Dispatch {
+    pub(super) fn handle_query(&self, query: &HolderQuery, now: Instant) -> Decision {
         let Some(own) = self.view.own else {
-            return Dispatch::Drop("not_configured");
+            return Decision::Drop("not_configured");
         };
         if query.service != own.fence.service.0 {
-            return Dispatch::Drop("wrong_service");
+            return Decision::Drop("wrong_service");
         }
         let Some(requester) = self.view.table.target(TargetId(query.from)) else {
-            return Dispatch::Drop("unknown_target");
+            return Decision::Drop("unknown_target");
         };
         let answer = HolderAnswer {
             service: query.service,
@@ -241,13 +241,13 @@
                 None => Holding::Not,
             },
         };
-        Dispatch::Answer { agent: requester.agent, answer }
+        Decision::Answer { agent: requester.agent, answer }
     }
 
-    pub(super) fn handle_answer(&mut self, answer: &HolderAnswer, now: Instant) -> Dispatch {
+    pub(super) fn handle_answer(&mut self, answer: &HolderAnswer, now: Instant) -> Decision {
         let own_service = self.view.own.map(|own| own.fence.service.0);
         if own_service != Some(answer.service) {
-            return Dispatch::Drop("wrong_service");
+            return Decision::Drop("wrong_service");
         }
         let key = FlowKey::from(answer.flow);
         let holder = TargetId(answer.from);
@@ -256,22 +256,22 @@
         let abandons = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
         match (abandons, self.forward_buffered(packets, holder)) {
             (true, Some(forwarding)) => {
-                Dispatch::Multiple(vec![Dispatch::Abandon(key), forwarding])
+                Decision::Multiple(vec![Decision::Abandon(key), forwarding])
             }
-            (true, None) => Dispatch::Abandon(key),
+            (true, None) => Decision::Abandon(key),
             (false, Some(forwarding)) => forwarding,
-            (false, None) => Dispatch::Recorded,
+            (false, None) => Decision::Recorded,
         }
     }
 
     /// Decides to send buffered packets, if there are any, to the agent that holds their flow.
-    fn forward_buffered(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Dispatch> {
+    fn forward_buffered(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Decision> {
         if packets.is_empty() {
             return None;
         }
         let agent = self.view.table.target(holder)?.agent;
         let delivery = Delivery::Forwarded;
-        Some(Dispatch::ForwardBuffered {
+        Some(Decision::ForwardBuffered {
             packets,
             next_hop: NextHop { agent, target: holder, delivery },
         })
--- a/crates/agent/src/dispatch/mod.rs
+++ b/crates/agent/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
 //! Decides what to do with each message that reaches an agent.
 //!
 //! The decisions are pure logic: messages, loads and time are arguments, and each outcome is a
-//! [`Dispatch`] value that [`crate::run`] executes.
+//! [`Decision`] value that [`crate::run`] executes.
 
 mod holders;
 mod opening;
@@ -37,7 +37,7 @@
 
 /// The decision about a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Dispatch {
+pub enum Decision {
     /// Deliver the packet to its flow, which this agent holds.
     Deliver(FlowKey),
     /// Open the flow here with this packet.
@@ -50,7 +50,7 @@
     /// Send the packet to another agent, or to all agents that claim its flow.
     PassOn(Vec<NextHop>),
     /// Execute several decisions about the same packet.
-    Multiple(Vec<Dispatch>),
+    Multiple(Vec<Decision>),
     /// Abandon the flow that is half-open here: another agent has it open.
     Abandon(FlowKey),
     /// Ask other agents which of them holds a flow; the packet is buffered meanwhile.
@@ -87,7 +87,7 @@
     Drop(&'static str),
 }
 
-/// Tells another agent, as a rule the owner of a flow's bucket, whether this agent holds the flow.
+/// Tells another agent, usually the owner of a flow's bucket, whether this agent holds the flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
     /// Address of the agent to notify.
@@ -221,7 +221,7 @@
 
     /// Decides about one message. `in_flight` is the current number of flows that wait for an
     /// answer of the back end.
-    pub fn handle(&mut self, message: &AgentMessage<'_>, in_flight: u32, now: Instant) -> Dispatch {
+    pub fn handle(&mut self, message: &AgentMessage<'_>, in_flight: u32, now: Instant) -> Decision {
         self.newest_revision_seen = self.newest_revision_seen.max(message.revision());
         match message {
             AgentMessage::Packet(envelope) => self.handle_packet(envelope, in_flight, now),
@@ -235,26 +235,26 @@
         envelope: &PacketEnvelope<'_>,
         in_flight: u32,
         now: Instant,
-    ) -> Dispatch {
+    ) -> Decision {
         let view = match decode_packet(envelope.packet) {
             Ok(view) => view,
-            Err(reason) => return Dispatch::Drop(reason.name()),
+            Err(reason) => return Decision::Drop(reason.name()),
         };
         let Some(own) = self.view.own else {
-            return Dispatch::Drop("not_configured");
+            return Decision::Drop("not_configured");
         };
         let destination = self.view.table.service_for(&view).map(|service| service.id);
         if let Err(error) = own.fence.check(envelope, destination)
             && self.planted_defect != Some(PlantedDefect::NoFence)
         {
-            return Dispatch::Drop(error.name());
+            return Decision::Drop(error.name());
         }
         if let Err(reason) = verify_checksums(envelope.packet) {
-            return Dispatch::Drop(reason.name());
+            return Decision::Drop(reason.name());
         }
         let arrival = Arrival { envelope, view: &view, own, in_flight, now };
         match self.flows.phase(&view.key, now) {
-            Some((FlowPhase::Open, _)) => return Dispatch::Deliver(view.key),
+            Some((FlowPhase::Open, _)) => return Decision::Deliver(view.key),
             Some((FlowPhase::Opening, age)) => return self.deliver_to_opening(&arrival, age),
             None => {}
         }
@@ -275,26 +275,26 @@
         self.view.standby_owner(key)
     }
 
-    fn pass_on(&self, arrival: &Arrival<'_>, to: TargetId, delivery: Delivery) -> Dispatch {
+    fn pass_on(&self, arrival: &Arrival<'_>, to: TargetId, delivery: Delivery) -> Decision {
         if arrival.envelope.hops >= MAX_HOPS {
-            return Dispatch::Drop("too_many_hops");
+            return Decision::Drop("too_many_hops");
         }
         match self.view.table.target(to) {
             Some(target) => {
-                Dispatch::PassOn(vec![NextHop { agent: target.agent, target: to, delivery }])
+                Decision::PassOn(vec![NextHop { agent: target.agent, target: to, delivery }])
             }
-            None => Dispatch::Drop("unknown_target"),
+            None => Decision::Drop("unknown_target"),
         }
     }
 }
 
 /// Resets a flow, unless the segment is itself a reset, which must not be answered.
-fn reset(key: &FlowKey, segment: &TcpSegment, reason: &'static str) -> Dispatch {
+fn reset(key: &FlowKey, segment: &TcpSegment, reason: &'static str) -> Decision {
     if segment.reset {
-        return Dispatch::Drop("reset_of_unknown_flow");
+        return Decision::Drop("reset_of_unknown_flow");
     }
     match build_tcp_reset(key, segment) {
-        Ok(packet) => Dispatch::Reset { packet, reason },
-        Err(_) => Dispatch::Drop("reset_not_built"),
+        Ok(packet) => Decision::Reset { packet, reason },
+        Err(_) => Decision::Drop("reset_not_built"),
     }
 }
--- a/crates/agent/src/dispatch/opening.rs
+++ b/crates/agent/src/dispatch/opening.rs
@@ -10,7 +10,7 @@
 use weirhinge_packet::FlowKey;
 use weirhinge_wire::{Delivery, Holding};
 
-use super::{Arrival, Dispatch, Dispatcher, reset};
+use super::{Arrival, Decision, Dispatcher, reset};
 
 /// Time after the agent's start until its back end counts as running at full speed.
 const WARM_UP: Duration = Duration::from_secs(10);
@@ -24,7 +24,7 @@
 
 impl<H> Dispatcher<H> {
     /// Handles an opening packet of a TCP flow that is not held here.
-    pub(super) fn handle_opening_tcp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn handle_opening_tcp(&mut self, arrival: &Arrival<'_>) -> Decision {
         if arrival.envelope.delivery == Delivery::Standby {
             return self.queue_standby(arrival);
         }
@@ -34,14 +34,14 @@
     /// Handles the copy of an opening packet that the balancer sends to the bucket's standby owner.
     /// The copy is dropped if the flow is claimed. It is queued otherwise, unless the owner is
     /// unresponsive or is this agent itself: then the flow is decided about at once.
-    pub(super) fn queue_standby(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn queue_standby(&mut self, arrival: &Arrival<'_>) -> Decision {
         let key = arrival.view.key;
         let owner = self.owner(&key).filter(|&owner| owner != self.own_target);
         match owner {
-            Some(_) if self.directory.has_claim(&key) => Dispatch::Drop("claimed"),
+            Some(_) if self.directory.has_claim(&key) => Decision::Drop("claimed"),
             Some(owner) if !self.standby.is_unresponsive(owner, arrival.now) => {
                 self.standby.push(key, owner, arrival.envelope.packet, arrival.now);
-                Dispatch::Recorded
+                Decision::Recorded
             }
             // The owner is unresponsive, or this agent has become the owner.
             _ => self.admit_or_pass_on(arrival),
@@ -49,7 +49,7 @@
     }
 
     /// Returns when the next queued opening packet (standby copy or offer) is due.
-    pub fn next_opening_due(&self) -> Option<Instant> {
+    pub fn next_due(&self) -> Option<Instant> {
         [self.standby.next_due(), self.offered_openings.next_due()].into_iter().flatten().min()
     }
 
@@ -67,14 +67,14 @@
     }
 
     /// Admits or refuses a new flow, or passes it on to a candidate.
-    pub(super) fn admit_or_pass_on(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn admit_or_pass_on(&mut self, arrival: &Arrival<'_>) -> Decision {
         let first_hop = arrival.envelope.delivery == Delivery::Owner;
         let claim = self.directory.recent_claim(&arrival.view.key, arrival.now);
         if let (true, Some(claimant)) = (first_hop, claim) {
             return self.pass_on(arrival, claimant, Delivery::Assigned);
         }
         if let Err(error) = self.flows.check_insert(&arrival.view.key, arrival.now) {
-            return Dispatch::Drop(error.name());
+            return Decision::Drop(error.name());
         }
         let step = decide_admission(
             arrival.envelope.delivery,
@@ -86,7 +86,7 @@
             AdmissionStep::Refuse(reason) => self.refuse(arrival, reason),
             AdmissionStep::PassOn { to, delivery } => {
                 if first_hop && !self.recently_passed_on.insert(arrival.view.key, arrival.now) {
-                    return Dispatch::Drop("repeated_opening");
+                    return Decision::Drop("repeated_opening");
                 }
                 self.keep_offered_opening(arrival, to);
                 self.pass_on(arrival, to, delivery)
@@ -116,20 +116,20 @@
     /// Admits the flow and announces the claim to the owner and the standby owner of its bucket.
     /// Claims of other agents stay recorded: the client may take up another claimant's answer, and
     /// then its packets belong to that claimant.
-    pub(super) fn admit(&self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn admit(&self, arrival: &Arrival<'_>) -> Decision {
         let key = arrival.view.key;
         let (owner, standby_owner) = (self.owner(&key), self.standby_owner(&key));
         let announce = [owner, standby_owner]
             .into_iter()
             .filter_map(|target| self.announcement_to(target?, &key, Holding::Opening))
             .collect();
-        Dispatch::Open { key, announce }
+        Decision::Open { key, announce }
     }
 
-    pub(super) fn refuse(&self, arrival: &Arrival<'_>, reason: RefusalReason) -> Dispatch {
+    pub(super) fn refuse(&self, arrival: &Arrival<'_>, reason: RefusalReason) -> Decision {
         match arrival.view.tcp() {
             Some(segment) => reset(&arrival.view.key, segment, reason.name()),
-            None => Dispatch::Drop(reason.name()),
+            None => Decision::Drop(reason.name()),
         }
     }
 
--- a/crates/agent/src/execute.rs
+++ b/crates/agent/src/execute.rs
@@ -10,58 +10,58 @@
     AgentMessage, Delivery, HolderAnswer, HolderQuery, PacketEnvelope, encode_into,
 };
 
-use crate::dispatch::{Announcement, Dispatch, NextHop};
+use crate::dispatch::{Announcement, Decision, NextHop};
 use crate::flow_log;
 use crate::run::Agent;
 
 impl Agent {
     pub(crate) fn handle_message(&mut self, message: &AgentMessage<'_>) {
         let in_flight = self.in_flight.count();
-        let dispatch = self.dispatcher.handle(message, in_flight, Instant::now());
-        flow_log::log_decision(&self.log, message, &dispatch);
-        self.execute(dispatch, message);
+        let decision = self.dispatcher.handle(message, in_flight, Instant::now());
+        flow_log::log_decision(&self.log, message, &decision);
+        self.execute(decision, message);
     }
 
-    pub(crate) fn execute(&mut self, dispatch: Dispatch, message: &AgentMessage<'_>) {
-        match (dispatch, message) {
-            (Dispatch::Deliver(key), AgentMessage::Packet(envelope)) => {
+    pub(crate) fn execute(&mut self, decision: Decision, message: &AgentMessage<'_>) {
+        match (decision, message) {
+            (Decision::Deliver(key), AgentMessage::Packet(envelope)) => {
                 self.deliver(&key, envelope.packet);
             }
-            (Dispatch::Open { key, announce }, AgentMessage::Packet(envelope)) => {
+            (Decision::Open { key, announce }, AgentMessage::Packet(envelope)) => {
                 self.start_flow(key, envelope.packet.to_vec());
                 for Announcement { agent, answer } in announce {
                     self.answer(agent, answer);
                 }
             }
-            (Dispatch::ForwardBuffered { packets, next_hop }, _) => {
+            (Decision::ForwardBuffered { packets, next_hop }, _) => {
                 self.forward_buffered(&packets, &next_hop)
             }
-            (Dispatch::PassOn(next_hops), AgentMessage::Packet(envelope)) => {
+            (Decision::PassOn(next_hops), AgentMessage::Packet(envelope)) => {
                 for next_hop in &next_hops {
                     self.pass_on(next_hop, envelope);
                 }
             }
-            (Dispatch::Multiple(all), _) => {
-                for dispatch in all {
-                    self.execute(dispatch, message);
+            (Decision::Multiple(all), _) => {
+                for decision in all {
+                    self.execute(decision, message);
                 }
             }
-            (Dispatch::Abandon(key), _) => {
+            (Decision::Abandon(key), _) => {
                 // The task of a half-open flow ends without a reset once its queue is closed.
                 self.dispatcher.flows.release(&key);
             }
-            (Dispatch::Query { query, agents }, _) => self.query_holders(query, &agents),
-            (Dispatch::Answer { agent, answer }, _) => self.answer(agent, answer),
-            (Dispatch::Reset { packet, reason }, _) => {
+            (Decision::Query { query, agents }, _) => self.query_holders(query, &agents),
+            (Decision::Answer { agent, answer }, _) => self.answer(agent, answer),
+            (Decision::Reset { packet, reason }, _) => {
                 self.metrics.flows_refused.increment(reason);
                 self.sink.send(&packet);
             }
-            (Dispatch::Drop(reason), _) => self.metrics.packets_dropped.increment(reason),
+            (Decision::Drop(reason), _) => self.metrics.packets_dropped.increment(reason),
             (
-                Dispatch::Recorded
-                | Dispatch::Deliver(_)
-                | Dispatch::Open { .. }
-                | Dispatch::PassOn(_),
+                Decision::Recorded
+                | Decision::Deliver(_)
+                | Decision::Open { .. }
+                | Decision::PassOn(_),
                 _,
             ) => {}
         }
--- a/crates/agent/src/flow_log.rs
+++ b/crates/agent/src/flow_log.rs
@@ -10,7 +10,7 @@
 use weirhinge_stack::SpliceEnd;
 use weirhinge_wire::{AgentMessage, HolderAnswer, HolderQuery};
 
-use crate::dispatch::Dispatch;
+use crate::dispatch::Decision;
 
 /// Whether debug lines are written.
 pub(crate) fn is_enabled(log: &Logger) -> bool {
@@ -26,8 +26,8 @@
 }
 
 /// Logs a message and the decision about it.
-pub(crate) fn log_decision(log: &Logger, message: &AgentMessage<'_>, dispatch: &Dispatch) {
-    if matches!(dispatch, Dispatch::Deliver(_)) || !is_enabled(log) {
+pub(crate) fn log_decision(log: &Logger, message: &AgentMessage<'_>, decision: &Decision) {
+    if matches!(decision, Decision::Deliver(_)) || !is_enabled(log) {
         return;
     }
     match message {
@@ -38,15 +38,15 @@
             };
             debug!(log, "agent: Packet dispatched."; "flow" => %view.key,
                 "packet" => %Flags(&view), "delivery" => ?envelope.delivery,
-                "hops" => envelope.hops, "outcome" => %Outcome(dispatch));
+                "hops" => envelope.hops, "outcome" => %Outcome(decision));
         }
         AgentMessage::HolderQuery(HolderQuery { flow, from, .. }) => {
             debug!(log, "agent: Holder query received."; "flow" => %FlowKey::from(*flow),
-                "from" => from, "outcome" => %Outcome(dispatch));
+                "from" => from, "outcome" => %Outcome(decision));
         }
         AgentMessage::HolderAnswer(HolderAnswer { flow, from, holding, .. }) => {
             debug!(log, "agent: Holder answer received."; "flow" => %FlowKey::from(*flow),
-                "from" => from, "holding" => ?holding, "outcome" => %Outcome(dispatch));
+                "from" => from, "holding" => ?holding, "outcome" => %Outcome(decision));
         }
     }
 }
@@ -98,37 +98,37 @@
 }
 
 /// Formats a decision without its packets.
-struct Outcome<'a>(&'a Dispatch);
+struct Outcome<'a>(&'a Decision);
 
 impl fmt::Display for Outcome<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Dispatch::Deliver(_) => formatter.write_str("delivered"),
-            Dispatch::Open { announce, .. } => {
+            Decision::Deliver(_) => formatter.write_str("delivered"),
+            Decision::Open { announce, .. } => {
                 write!(formatter, "admitted, claimed with {} agents", announce.len())
             }
-            Dispatch::PassOn(next_hops) => {
+            Decision::PassOn(next_hops) => {
                 let targets: Vec<_> = next_hops
                     .iter()
                     .map(|next_hop| (next_hop.target.0, next_hop.delivery))
                     .collect();
                 write!(formatter, "passed on to {targets:?}")
             }
-            Dispatch::Multiple(all) => {
-                for dispatch in all {
-                    write!(formatter, "{}; ", Outcome(dispatch))?;
+            Decision::Multiple(all) => {
+                for decision in all {
+                    write!(formatter, "{}; ", Outcome(decision))?;
                 }
                 Ok(())
             }
-            Dispatch::Abandon(_) => formatter.write_str("given up"),
-            Dispatch::Query { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
-            Dispatch::Answer { answer, .. } => write!(formatter, "answered {:?}", answer.holding),
-            Dispatch::Reset { reason, .. } => write!(formatter, "reset: {reason}"),
-            Dispatch::Recorded => formatter.write_str("noted"),
-            Dispatch::ForwardBuffered { packets, next_hop } => {
+            Decision::Abandon(_) => formatter.write_str("given up"),
+            Decision::Query { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
+            Decision::Answer { answer, .. } => write!(formatter, "answered {:?}", answer.holding),
+            Decision::Reset { reason, .. } => write!(formatter, "reset: {reason}"),
+            Decision::Recorded => formatter.write_str("noted"),
+            Decision::ForwardBuffered { packets, next_hop } => {
                 write!(formatter, "{} packets released to {}", packets.len(), next_hop.target.0)
             }
-            Dispatch::Drop(reason) => write!(formatter, "dropped: {reason}"),
+            Decision::Drop(reason) => write!(formatter, "dropped: {reason}"),
         }
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -97,8 +97,8 @@
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
     let key = Keys::from_file(&settings.common.keys_file)?.flow_hash;
-    let mut declared = Metrics::new();
-    let metrics = AgentMetrics::declare(&mut declared);
+    let mut registry = Metrics::new();
+    let metrics = AgentMetrics::declare(&mut registry);
     let shared = Arc::new(SharedState::default());
     let freshness = Arc::new(ConfigFreshness::default());
     let health = Arc::new(AgentHealth {
@@ -113,7 +113,7 @@
     let data = socket.local_addr().wrap_err("read the data socket's address")?;
     // The kernel may grant a smaller buffer; that is not an error.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
-    let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
+    let admin = start_admin(settings.common.admin, health, registry.freeze(), &log)?;
     info!(log, "agent: Started."; "data" => %data, "admin" => %admin.address());
     ready(BoundAddresses { data, admin: admin.address(), control: None, api: None });
 
@@ -210,9 +210,7 @@
                     self.receive_burst();
                 }
                 Some(event) = events.recv() => self.handle_event(event),
-                () = sleep_until_due(self.dispatcher.next_opening_due()) => {
-                    self.handle_due_openings();
-                }
+                () = sleep_until_due(self.dispatcher.next_due()) => self.handle_due_openings(),
                 Some(view) = documents.recv() => self.apply(view),
                 _ = housekeeping.tick() => {
                     self.run_housekeeping();
--- a/crates/agent/tests/competing_claims.rs
+++ b/crates/agent/tests/competing_claims.rs
@@ -5,7 +5,7 @@
 
 use std::time::Instant;
 
-use weirhinge_agent::dispatch::Dispatch;
+use weirhinge_agent::dispatch::Decision;
 use weirhinge_packet::{FlowKey, decode_packet};
 use weirhinge_wire::{AgentMessage, Delivery, HolderAnswer, Holding};
 
@@ -31,17 +31,17 @@
     let key = decode_packet(&opening).expect("valid packet").key;
     agent.handle(&claim(claimant, key), 0, now);
     let assigned = AgentMessage::Packet(envelope(own, Delivery::Assigned, &opening));
-    let Dispatch::Open { key, .. } = agent.handle(&assigned, 0, now) else {
+    let Decision::Open { key, .. } = agent.handle(&assigned, 0, now) else {
         panic!("expected the agent to admit the assigned flow");
     };
     agent.flows.insert(key, (), now).expect("inserted");
     let request = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &request));
-    let Dispatch::Multiple(all) = agent.handle(&message, 0, now) else {
+    let Decision::Multiple(all) = agent.handle(&message, 0, now) else {
         panic!("expected the packet to be delivered and forwarded");
     };
-    assert_eq!(all[0], Dispatch::Deliver(key));
-    let Dispatch::PassOn(next_hops) = &all[1] else {
+    assert_eq!(all[0], Decision::Deliver(key));
+    let Decision::PassOn(next_hops) = &all[1] else {
         panic!("expected the packet to be forwarded to the claimant");
     };
     assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (claimant, Delivery::Forwarded));
@@ -58,14 +58,14 @@
     let mut agent = agent(own, &document);
     let now = Instant::now();
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &opening));
-    let Dispatch::Open { key, .. } = agent.handle(&message, 0, now) else {
+    let Decision::Open { key, .. } = agent.handle(&message, 0, now) else {
         panic!("expected the owner to admit the flow");
     };
     agent.flows.insert(key, (), now).expect("inserted");
     let request = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &request));
-    assert_eq!(agent.handle(&message, 0, now), Dispatch::Deliver(key));
-    let Dispatch::ForwardBuffered { packets, next_hop } =
+    assert_eq!(agent.handle(&message, 0, now), Decision::Deliver(key));
+    let Decision::ForwardBuffered { packets, next_hop } =
         agent.handle(&claim(claimant, key), 0, now)
     else {
         panic!("expected the request to be forwarded to the claimant");
@@ -85,12 +85,12 @@
     let mut agent = agent(named, &document);
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(named, Delivery::Hinted, &packet));
-    let Dispatch::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
+    let Decision::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
         panic!("expected the packet to be passed on");
     };
     assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (owner_target, Delivery::Owner));
     // Timestamps name the same target throughout a flow, so this flow was held here.
     let packet = segment(40_000, false, true);
     let message = AgentMessage::Packet(envelope(named, Delivery::Hinted, &packet));
-    assert!(matches!(agent.handle(&message, 0, Instant::now()), Dispatch::Query { .. }));
+    assert!(matches!(agent.handle(&message, 0, Instant::now()), Decision::Query { .. }));
 }
--- a/crates/agent/tests/dispatch.rs
+++ b/crates/agent/tests/dispatch.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use etherparse::PacketBuilder;
-use weirhinge_agent::dispatch::{Dispatch, Dispatcher};
+use weirhinge_agent::dispatch::{Decision, Dispatcher};
 use weirhinge_agent::view::AgentView;
 use weirhinge_config::{ConfigDocument, TargetId};
 use weirhinge_packet::decode_packet;
@@ -23,12 +23,12 @@
     let mut agent = agent(owner, &document);
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
     let now = Instant::now();
-    let Dispatch::Open { key, announce } = agent.handle(&message, 0, now) else {
+    let Decision::Open { key, announce } = agent.handle(&message, 0, now) else {
         panic!("expected the owner to admit the flow");
     };
     assert_eq!(announce.len(), 1, "the claim is announced to the standby owner");
     agent.flows.insert(key, (), now).expect("inserted");
-    assert_eq!(agent.handle(&message, 0, now), Dispatch::Deliver(key));
+    assert_eq!(agent.handle(&message, 0, now), Decision::Deliver(key));
 }
 
 #[test]
@@ -38,13 +38,13 @@
     let packet = segment(40_000, true, true);
     let valid = envelope(0, Delivery::Owner, &packet);
     let mut decide = |envelope| agent.handle(&AgentMessage::Packet(envelope), 0, Instant::now());
-    assert_eq!(decide(PacketEnvelope { service: 2, ..valid }), Dispatch::Drop("wrong_service"));
-    assert_eq!(decide(PacketEnvelope { target: 1, ..valid }), Dispatch::Drop("wrong_target"));
+    assert_eq!(decide(PacketEnvelope { service: 2, ..valid }), Decision::Drop("wrong_service"));
+    assert_eq!(decide(PacketEnvelope { target: 1, ..valid }), Decision::Drop("wrong_target"));
     // The address now belongs to service 2, but a stale balancer's envelope names service 1.
     let mut moved = packet.clone();
     moved[19] = 20;
     let moved = PacketEnvelope { packet: &moved, ..valid };
-    assert_eq!(decide(moved), Dispatch::Drop("wrong_destination"));
+    assert_eq!(decide(moved), Decision::Drop("wrong_destination"));
 }
 
 #[test]
@@ -55,9 +55,9 @@
     let last = packet.len() - 1;
     packet[last] ^= 1;
     let message = AgentMessage::Packet(envelope(0, Delivery::Owner, &packet));
-    assert_eq!(agent.handle(&message, 0, Instant::now()), Dispatch::Drop("bad_checksum"));
+    assert_eq!(agent.handle(&message, 0, Instant::now()), Decision::Drop("bad_checksum"));
     let message = AgentMessage::Packet(envelope(0, Delivery::Owner, &packet[..10]));
-    assert_eq!(agent.handle(&message, 0, Instant::now()), Dispatch::Drop("truncated"));
+    assert_eq!(agent.handle(&message, 0, Instant::now()), Decision::Drop("truncated"));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let draining = owner(&before, &packet);
     let mut agent = agent(draining, &document(2, &[draining]));
     let message = AgentMessage::Packet(envelope(draining, Delivery::Owner, &packet));
-    let Dispatch::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
+    let Decision::PassOn(next_hops) = agent.handle(&message, 0, Instant::now()) else {
         panic!("expected the draining target to pass the flow on");
     };
     assert_eq!(next_hops.len(), 1);
@@ -82,7 +82,7 @@
     let mut agent = agent(owner, &document);
     agent.begin_shutdown();
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
-    assert!(matches!(agent.handle(&message, 0, Instant::now()), Dispatch::PassOn(_)));
+    assert!(matches!(agent.handle(&message, 0, Instant::now()), Decision::PassOn(_)));
 }
 
 #[test]
@@ -93,7 +93,7 @@
     let mut agent = agent(owner, &document);
     let start = Instant::now();
     let message = AgentMessage::Packet(envelope(owner, Delivery::Owner, &packet));
-    let Dispatch::Query { query, agents } = agent.handle(&message, 0, start) else {
+    let Decision::Query { query, agents } = agent.handle(&message, 0, start) else {
         panic!("expected the owner to query the other agents first");
     };
     assert_eq!(agents.len(), usize::from(AGENTS) - 1);
@@ -111,9 +111,9 @@
         agent.handle(&answer(other), 0, start);
     }
     let later = start + Duration::from_secs(3);
-    assert!(matches!(agent.handle(&message, 0, later), Dispatch::Query { .. }));
+    assert!(matches!(agent.handle(&message, 0, later), Decision::Query { .. }));
     agent.handle(&answer(other_targets[0]), 0, later);
-    assert!(matches!(agent.handle(&message, 0, later), Dispatch::Reset { .. }));
+    assert!(matches!(agent.handle(&message, 0, later), Decision::Reset { .. }));
 }
 
 /// An agent that does not know a new target yet cannot query it, and would reset the new target's
@@ -129,7 +129,7 @@
     let mut fresh = envelope(own, Delivery::Owner, &packet);
     fresh.revision = 2;
     let message = AgentMessage::Packet(fresh);
-    let Dispatch::Query { query, .. } = agent.handle(&message, 0, now) else {
+    let Decision::Query { query, .. } = agent.handle(&message, 0, now) else {
         panic!("expected the owner to query the other agents");
     };
     let denial = HolderAnswer {
@@ -140,10 +140,10 @@
         holding: Holding::Not,
     };
     agent.handle(&AgentMessage::HolderAnswer(denial), 0, now);
-    assert_eq!(agent.handle(&message, 0, now), Dispatch::Drop("stale_view"));
+    assert_eq!(agent.handle(&message, 0, now), Decision::Drop("stale_view"));
     let caught_up = ConfigDocument { revision: 2, ..old };
     agent.apply(AgentView::build(&caught_up, &KEY, TargetId(own)), now);
-    assert!(matches!(agent.handle(&message, 0, now), Dispatch::Reset { .. }));
+    assert!(matches!(agent.handle(&message, 0, now), Decision::Reset { .. }));
 }
 
 #[test]
@@ -156,11 +156,11 @@
     let mut agent: Dispatcher<()> = Dispatcher::new(TargetId(own), 1, 16, view.clone(), start);
     agent.apply(view, start);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &packet));
-    assert!(matches!(agent.handle(&message, 0, start), Dispatch::PassOn(_)));
+    assert!(matches!(agent.handle(&message, 0, start), Decision::PassOn(_)));
     let other = segment(40_001, true, true);
     let later = start + Duration::from_secs(3);
     let message = AgentMessage::Packet(envelope(own, Delivery::Assigned, &other));
-    assert!(matches!(agent.handle(&message, 0, later), Dispatch::Open { .. }));
+    assert!(matches!(agent.handle(&message, 0, later), Decision::Open { .. }));
 }
 
 /// After a change of owner, holders announce flows without hints to the new owner at once.
@@ -173,7 +173,7 @@
     let mut holder = agent(old_owner, &before);
     let now = Instant::now();
     let message = AgentMessage::Packet(envelope(old_owner, Delivery::Owner, &opening));
-    let Dispatch::Open { key, .. } = holder.handle(&message, 0, now) else {
+    let Decision::Open { key, .. } = holder.handle(&message, 0, now) else {
         panic!("expected the first owner to admit the flow");
     };
     holder.flows.insert(key, (), now).expect("inserted");
@@ -197,7 +197,7 @@
     let mut holder = agent(holder_target, &document);
     let now = Instant::now();
     let assigned = AgentMessage::Packet(envelope(holder_target, Delivery::Assigned, &opening));
-    let Dispatch::Open { key, announce } = holder.handle(&assigned, 0, now) else {
+    let Decision::Open { key, announce } = holder.handle(&assigned, 0, now) else {
         panic!("expected the holder to admit the flow");
     };
     let announcement = announce[0];
@@ -205,16 +205,16 @@
     holder.flows.insert(key, (), now).expect("inserted");
     let mut owner = agent(owner_target, &document);
     let claim = AgentMessage::HolderAnswer(announcement.answer);
-    assert_eq!(owner.handle(&claim, 0, now), Dispatch::Recorded);
+    assert_eq!(owner.handle(&claim, 0, now), Decision::Recorded);
     // A retransmitted opening packet goes to the same agent.
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &opening));
-    let Dispatch::PassOn(next_hops) = owner.handle(&message, 0, now) else {
+    let Decision::PassOn(next_hops) = owner.handle(&message, 0, now) else {
         panic!("expected the owner to pass the packet to the claimant");
     };
     assert_eq!((next_hops[0].target.0, next_hops[0].delivery), (holder_target, Delivery::Assigned));
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
-    let Dispatch::PassOn(next_hops) = owner.handle(&message, 0, now) else {
+    let Decision::PassOn(next_hops) = owner.handle(&message, 0, now) else {
         panic!("expected the owner to forward the packet");
     };
     assert_eq!(
@@ -222,7 +222,7 @@
         (holder_target, Delivery::Forwarded)
     );
     let message = AgentMessage::Packet(envelope(holder_target, Delivery::Forwarded, &packet));
-    assert_eq!(holder.handle(&message, 0, now), Dispatch::Deliver(key));
+    assert_eq!(holder.handle(&message, 0, now), Decision::Deliver(key));
 }
 
 /// Two agents answer the same opening packet. If the owner records only the claimant whose answer
@@ -244,7 +244,7 @@
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(owner_target, Delivery::Owner, &packet));
     let targets = |dispatch| match dispatch {
-        Dispatch::PassOn(next_hops) => {
+        Decision::PassOn(next_hops) => {
             next_hops.iter().map(|next_hop| next_hop.target.0).collect::<Vec<_>>()
         }
         other => panic!("expected PassOn, found {other:?}"),
@@ -264,19 +264,19 @@
     let mut agent = agent(own, &document);
     let start = Instant::now();
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &opening));
-    let Dispatch::Open { key, .. } = agent.handle(&message, 0, start) else {
+    let Decision::Open { key, .. } = agent.handle(&message, 0, start) else {
         panic!("expected the owner to admit the flow");
     };
     agent.flows.insert(key, (), start).expect("inserted");
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(own, Delivery::Owner, &packet));
-    assert_eq!(agent.handle(&message, 0, start), Dispatch::Deliver(key));
+    assert_eq!(agent.handle(&message, 0, start), Decision::Deliver(key));
     let later = start + Duration::from_secs(1);
-    let Dispatch::Multiple(all) = agent.handle(&message, 0, later) else {
+    let Decision::Multiple(all) = agent.handle(&message, 0, later) else {
         panic!("expected the agent to deliver the packet and query the other agents");
     };
-    assert_eq!(all[0], Dispatch::Deliver(key));
-    let Dispatch::Query { query, .. } = all[1] else {
+    assert_eq!(all[0], Decision::Deliver(key));
+    let Decision::Query { query, .. } = all[1] else {
         panic!("expected a query to the other agents");
     };
     let open = HolderAnswer {
@@ -286,11 +286,11 @@
         flow: query.flow,
         holding: Holding::Open,
     };
-    let Dispatch::Multiple(all) = agent.handle(&AgentMessage::HolderAnswer(open), 0, later) else {
+    let Decision::Multiple(all) = agent.handle(&AgentMessage::HolderAnswer(open), 0, later) else {
         panic!("expected the agent to abandon the flow and forward its packets");
     };
-    assert_eq!(all[0], Dispatch::Abandon(key));
-    let Dispatch::ForwardBuffered { packets, next_hop } = &all[1] else {
+    assert_eq!(all[0], Decision::Abandon(key));
+    let Decision::ForwardBuffered { packets, next_hop } = &all[1] else {
         panic!("expected the buffered packets to be forwarded");
     };
     assert_eq!(
@@ -313,7 +313,7 @@
     let later = start + Duration::from_secs(1);
 
     let mut standby_owner = agent(standby_target, &document);
-    assert_eq!(standby_owner.handle(&copy, 0, start), Dispatch::Recorded);
+    assert_eq!(standby_owner.handle(&copy, 0, start), Decision::Recorded);
     assert_eq!(standby_owner.take_due_standby(start), None);
     let due = standby_owner.take_due_standby(later).expect("unclaimed standby copy is due");
     assert_eq!(due.packet, opening);
@@ -349,7 +349,7 @@
     let now = Instant::now();
     let mut holder = agent(old_owner, &before);
     let message = AgentMessage::Packet(envelope(old_owner, Delivery::Owner, &opening));
-    let Dispatch::Open { key, .. } = holder.handle(&message, 0, now) else {
+    let Decision::Open { key, .. } = holder.handle(&message, 0, now) else {
         panic!("expected the first owner to admit the flow");
     };
     holder.flows.insert(key, (), now).expect("inserted");
@@ -359,16 +359,16 @@
     let mut new_owner = agent(new_owner_target, &after);
     let packet = segment(40_000, false, false);
     let message = AgentMessage::Packet(envelope(new_owner_target, Delivery::Owner, &packet));
-    let Dispatch::Query { query, .. } = new_owner.handle(&message, 0, now) else {
+    let Decision::Query { query, .. } = new_owner.handle(&message, 0, now) else {
         panic!("expected the new owner to query the other agents");
     };
-    let Dispatch::Answer { answer, .. } = holder.handle(&AgentMessage::HolderQuery(query), 0, now)
+    let Decision::Answer { answer, .. } = holder.handle(&AgentMessage::HolderQuery(query), 0, now)
     else {
         panic!("expected the holder to answer the query");
     };
     assert_eq!(answer.holding, Holding::Open);
     let forwarded = new_owner.handle(&AgentMessage::HolderAnswer(answer), 0, now);
-    let Dispatch::ForwardBuffered { packets, next_hop } = forwarded else {
+    let Decision::ForwardBuffered { packets, next_hop } = forwarded else {
         panic!("expected the buffered packet to be forwarded");
     };
     assert_eq!(packets, [packet]);
@@ -388,7 +388,7 @@
     let mut agent = agent(0, &single_target);
     let message = AgentMessage::Packet(envelope(0, Delivery::Owner, &packet));
     let dropped = agent.handle(&message, 0, Instant::now());
-    assert_eq!(dropped, Dispatch::Drop("reset_of_unknown_flow"));
+    assert_eq!(dropped, Decision::Drop("reset_of_unknown_flow"));
 }
 
 #[test]
@@ -399,5 +399,5 @@
     let mut envelope = envelope(0, Delivery::Owner, &packet);
     envelope.hops = 12;
     let dropped = agent.handle(&AgentMessage::Packet(envelope), 0, Instant::now());
-    assert_eq!(dropped, Dispatch::Drop("too_many_hops"));
+    assert_eq!(dropped, Decision::Drop("too_many_hops"));
 }
--- a/crates/agent/tests/unclaimed_offers.rs
+++ b/crates/agent/tests/unclaimed_offers.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use weirhinge_agent::dispatch::{Dispatch, Dispatcher};
+use weirhinge_agent::dispatch::{Decision, Dispatcher};
 use weirhinge_packet::{FlowKey, decode_packet};
 use weirhinge_wire::{AgentMessage, Delivery, HolderAnswer, Holding};
 
@@ -35,7 +35,7 @@
     let at = Instant::now();
     let message = AgentMessage::Packet(envelope(target, Delivery::Owner, &opening));
     let offered = agent.handle(&message, IN_FLIGHT, at);
-    assert!(matches!(offered, Dispatch::PassOn(_)), "{offered:?}");
+    assert!(matches!(offered, Decision::PassOn(_)), "{offered:?}");
     Offered { agent, target, opening, key, at }
 }
 
@@ -53,7 +53,7 @@
 fn owner_admits_unclaimed_offer() {
     let mut offered = offered_by_owner();
     let due_at = offered.at + CLAIMED_BY;
-    assert!(offered.agent.next_opening_due().is_some_and(|due| due <= due_at));
+    assert!(offered.agent.next_due().is_some_and(|due| due <= due_at));
     assert_eq!(
         offered.agent.take_due_offer(offered.at),
         None,
@@ -63,7 +63,7 @@
     assert_eq!(due.packet, offered.opening);
     let message = AgentMessage::Packet(envelope(offered.target, Delivery::Assigned, &due.packet));
     let admitted = offered.agent.handle(&message, IN_FLIGHT, due_at);
-    assert!(matches!(admitted, Dispatch::Open { .. }), "{admitted:?}");
+    assert!(matches!(admitted, Decision::Open { .. }), "{admitted:?}");
     assert_eq!(offered.agent.take_due_offer(due_at + CLAIMED_BY), None, "each offer is due once");
 }
 
@@ -96,7 +96,7 @@
         let best = weirhinge_wire::Offer { best: owner_target, best_load: 0, visited: 1 };
         let message = AgentMessage::Packet(envelope(target, Delivery::Offered(best), &opening));
         let now = Instant::now();
-        assert!(matches!(agent.handle(&message, IN_FLIGHT, now), Dispatch::PassOn(_)));
+        assert!(matches!(agent.handle(&message, IN_FLIGHT, now), Decision::PassOn(_)));
         assert_eq!(agent.take_due_offer(now + CLAIMED_BY), None);
     }
 }
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -56,8 +56,8 @@
 ) -> eyre::Result<()> {
     let Keys { flow_hash: key, control: control_keys } =
         Keys::from_file(&settings.common.keys_file)?;
-    let mut declared = Metrics::new();
-    let metrics = BalancerMetrics::declare(&mut declared);
+    let mut registry = Metrics::new();
+    let metrics = BalancerMetrics::declare(&mut registry);
     let empty = RoutingTable::build(&ConfigDocument::default(), &key);
     let table = Arc::new(ArcSwap::from_pointee(empty));
     let stopping = Arc::new(AtomicBool::new(false));
@@ -70,7 +70,7 @@
         freshness: freshness.clone(),
         stopping: stopping.clone(),
     });
-    let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
+    let admin = start_admin(settings.common.admin, health, registry.freeze(), &log)?;
     let data_path = DataPath {
         socket,
         table: table.clone(),
@@ -78,7 +78,7 @@
         stopping: stopping.clone(),
         batch: settings.batch,
     };
-    let ended = start_data_path(data_path)?;
+    let data_path_ended = start_data_path(data_path)?;
     let (platform_document, platform_documents) =
         watch::channel(Arc::new(ConfigDocument::default()));
     let control_options = ControlOptions {
@@ -116,7 +116,7 @@
         table.store(Arc::new(next));
         revision.set(i64::try_from(document.revision).unwrap_or(i64::MAX));
     });
-    let stopped = async {
+    let shutdown_wait = async {
         stop.await;
         info!(log, "balancer: Graceful shutdown began; forwarding until the fabric stops sending.");
         stopping.store(true, Ordering::Relaxed);
@@ -125,8 +125,8 @@
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
         () = apply_newest => Err(eyre!("apply configuration: ended unexpectedly")),
-        () = stopped => Err(eyre!("wait for shutdown: ended unexpectedly")),
-        result = ended => {
+        () = shutdown_wait => Err(eyre!("wait for shutdown: ended unexpectedly")),
+        result = data_path_ended => {
             result.wrap_err("data path: thread ended without a result")??;
             info!(log, "balancer: Stopped.");
             Ok(())
