--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts an agent, carries out its decisions, and stops it.
+//! Starts an agent, runs its main loop, and shuts it down.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,27 +19,28 @@
 use crate::flows::{FlowEvent, FlowHandle};
 use crate::load::InFlight;
 use crate::metrics::AgentMetrics;
-use crate::plant::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::timestamps;
 use crate::view::AgentView;
 
-/// Receive buffer asked of the kernel, in bytes.
-const RECEIVE_BUFFER: usize = 8 << 20;
-/// Room for one datagram.
-const DATAGRAM_ROOM: usize = 2_048;
-/// Most datagrams handled before other events get their turn.
+/// Size of the receive buffer requested from the kernel, in bytes.
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
+/// Size of the buffer for one datagram, in bytes.
+const DATAGRAM_BUFFER_BYTES: usize = 2_048;
+/// Maximum number of datagrams handled before other events are polled.
 const RECEIVE_BURST: usize = 64;
-/// Time between two rounds of housekeeping.
+/// Interval between two rounds of housekeeping.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
-/// After the last flow of a planned stop: how long the agent passes on what
-/// stale balancers still send, once nothing has come for this long.
+/// After the last flow of a graceful shutdown has ended, the agent still passes on packets from
+/// balancers with a stale configuration. It exits once no datagram has arrived for this long.
 const QUIET_BEFORE_STOP: Duration = Duration::from_secs(2);
-/// Time for the resets of cut flows to leave.
-const CUT_TIME: Duration = Duration::from_millis(500);
-/// The longest that it does so.
-const LONGEST_QUIET_WAIT: Duration = Duration::from_secs(10);
+/// Time for the flows' tasks to send resets before the process exits.
+const RESET_SEND_TIME: Duration = Duration::from_millis(500);
+/// Once no flow is open, the agent exits this long after the graceful shutdown began, even if
+/// datagrams still arrive.
+const MAX_QUIET_WAIT: Duration = Duration::from_secs(10);
 
-/// What the main loop shares with the health endpoint.
+/// State that the main loop shares with the health endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct SharedState {
     revision: AtomicU64,
@@ -66,7 +67,7 @@
     }
 }
 
-/// A running agent: what the main loop owns.
+/// A running agent; owned by the main loop.
 pub(crate) struct Agent {
     pub(crate) settings: AgentSettings,
     pub(crate) log: Logger,
@@ -82,21 +83,22 @@
     pub(crate) envelope: Vec<u8>,
 }
 
-/// Runs an agent until `stop` asks for a planned stop and its last flow has
-/// ended or the stated deadline has passed. `ready` is told the bound addresses.
+/// Runs an agent until `stop` requests a graceful shutdown and the last flow has ended or the
+/// configured deadline has passed. Calls `ready` with the bound addresses.
 ///
 /// # Errors
-/// Names the step and the address that failed.
+/// When the keys cannot be read, an address cannot be bound or the data socket fails; the error
+/// names the step and, if any, the address.
 pub async fn run(
     settings: AgentSettings,
-    plant: Option<Plant>,
+    planted_defect: Option<PlantedDefect>,
     log: Logger,
     ready: impl FnOnce(BoundAddresses),
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
     let key = Keys::from_file(&settings.common.keys_file)?.flow_hash;
-    let mut declared = Metrics::new();
-    let metrics = AgentMetrics::declare(&mut declared);
+    let mut registry = Metrics::new();
+    let metrics = AgentMetrics::declare(&mut registry);
     let shared = Arc::new(SharedState::default());
     let freshness = Arc::new(ConfigFreshness::default());
     let health = Arc::new(AgentHealth {
@@ -109,9 +111,9 @@
         .await
         .wrap_err_with(|| format!("bind data socket at {}", settings.common.listen))?;
     let data = socket.local_addr().wrap_err("read the data socket's address")?;
-    // The kernel grants what its limit allows; less is no error.
-    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
-    let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
+    // The kernel may grant a smaller buffer; that is not an error.
+    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
+    let admin = start_admin(settings.common.admin, health, registry.freeze(), &log)?;
     info!(log, "agent: Started."; "data" => %data, "admin" => %admin.address());
     ready(BoundAddresses { data, admin: admin.address(), control: None, api: None });
 
@@ -125,14 +127,14 @@
     };
     let target = settings.target;
     let follow = follower.run(move |document| {
-        // The main loop is gone only when the process is ending.
+        // The main loop is gone only while the process exits.
         let _ = documents.send(AgentView::build(&document, &key, target));
     });
     let (events, new_events) = mpsc::unbounded_channel();
     let mut agent = Agent::new(settings, log, Arc::new(socket), metrics, shared, events, &key);
-    if let Some(plant) = plant {
-        warn!(agent.log, "agent: Runs with a planted defect."; "defect" => ?plant);
-        agent.dispatcher.plant(plant);
+    if let Some(planted_defect) = planted_defect {
+        warn!(agent.log, "agent: Running with a planted defect."; "defect" => ?planted_defect);
+        agent.dispatcher.enable_defect(planted_defect);
     }
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
@@ -140,7 +142,7 @@
     }
 }
 
-/// Sleeps until a packet falls due, for ever if none waits.
+/// Sleeps until `due`, or forever if nothing is due.
 async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => tokio::time::sleep_until(due.into()).await,
@@ -188,7 +190,7 @@
             shared,
             events,
             last_datagram: now,
-            envelope: Vec::with_capacity(DATAGRAM_ROOM),
+            envelope: Vec::with_capacity(DATAGRAM_BUFFER_BYTES),
         }
     }
 
@@ -199,7 +201,7 @@
         stop: impl Future<Output = ()>,
     ) -> eyre::Result<()> {
         let mut housekeeping = tokio::time::interval(HOUSEKEEPING_INTERVAL);
-        let mut stop_began: Option<Instant> = None;
+        let mut shutdown_began: Option<Instant> = None;
         tokio::pin!(stop);
         loop {
             tokio::select! {
@@ -208,19 +210,19 @@
                     self.receive_burst();
                 }
                 Some(event) = events.recv() => self.handle_event(event),
-                () = sleep_until_due(self.dispatcher.next_standby()) => self.act_on_standby(),
+                () = sleep_until_due(self.dispatcher.next_due()) => self.handle_due_openings(),
                 Some(view) = documents.recv() => self.apply(view),
                 _ = housekeeping.tick() => {
-                    self.keep_house();
-                    if stop_began.is_some_and(|began| self.may_end(began)) {
-                        self.cut_flows().await;
+                    self.run_housekeeping();
+                    if shutdown_began.is_some_and(|began| self.can_exit(began)) {
+                        self.reset_open_flows().await;
                         info!(self.log, "agent: Stopped.");
                         return Ok(());
                     }
                 }
-                () = &mut stop, if stop_began.is_none() => {
-                    stop_began = Some(Instant::now());
-                    self.begin_stop();
+                () = &mut stop, if shutdown_began.is_none() => {
+                    shutdown_began = Some(Instant::now());
+                    self.begin_shutdown();
                 }
             }
         }
@@ -229,7 +231,7 @@
     fn apply(&mut self, view: AgentView) {
         let revision = view.table.revision();
         if view.own.is_none() {
-            warn!(self.log, "agent: Configuration does not know this target.";
+            warn!(self.log, "agent: Configuration does not contain this target.";
                 "target" => self.settings.target.0, "revision" => revision);
         }
         for Announcement { agent, answer } in self.dispatcher.apply(view, Instant::now()) {
@@ -239,39 +241,40 @@
         self.metrics.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
 
-    fn begin_stop(&mut self) {
-        self.dispatcher.begin_stop();
+    fn begin_shutdown(&mut self) {
+        self.dispatcher.begin_shutdown();
         self.shared.stopping.store(true, Ordering::Relaxed);
-        info!(self.log, "agent: Planned stop began; waiting for open flows.";
+        info!(self.log, "agent: Graceful shutdown began; waiting for open flows.";
             "flows" => self.dispatcher.flows.len());
     }
 
-    /// Whether a planned stop that began then may end the process now.
-    fn may_end(&self, began: Instant) -> bool {
+    /// Whether the process may exit now, given when the graceful shutdown began.
+    fn can_exit(&self, began: Instant) -> bool {
         let flows = self.dispatcher.flows.len();
         let deadline = self.settings.stop_deadline_seconds.map(Duration::from_secs);
         if flows > 0 {
             let passed = deadline.is_some_and(|deadline| began.elapsed() >= deadline);
             if passed {
                 self.metrics.flows_broken.inc_by(flows as u64);
-                warn!(self.log, "agent: Deadline passed; cutting open flows."; "cut" => flows);
+                warn!(self.log, "agent: Shutdown deadline passed; resetting open flows.";
+                    "cut" => flows);
             }
             return passed;
         }
-        self.last_datagram.elapsed() >= QUIET_BEFORE_STOP || began.elapsed() >= LONGEST_QUIET_WAIT
+        self.last_datagram.elapsed() >= QUIET_BEFORE_STOP || began.elapsed() >= MAX_QUIET_WAIT
     }
 
-    /// Ends what is still open by a reset, so that callers come back at once.
-    async fn cut_flows(&mut self) {
+    /// Resets all open flows, so that their clients reconnect at once.
+    async fn reset_open_flows(&mut self) {
         if self.dispatcher.flows.is_empty() {
             return;
         }
-        // A flow's task resets its caller when its queue is gone.
+        // A flow's task resets its client once its queue is closed.
         self.dispatcher.flows.clear();
-        tokio::time::sleep(CUT_TIME).await;
+        tokio::time::sleep(RESET_SEND_TIME).await;
     }
 
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         self.dispatcher.expire(Instant::now());
         let flows = self.dispatcher.flows.len();
         self.shared.flows.store(flows as u64, Ordering::Relaxed);
@@ -281,9 +284,9 @@
 
     fn receive_burst(&mut self) {
         let socket = self.socket.clone();
-        let mut datagram = [0; DATAGRAM_ROOM];
+        let mut datagram = [0; DATAGRAM_BUFFER_BYTES];
         for _ in 0..RECEIVE_BURST {
-            // Errors of earlier sends (a peer's port is closed) surface here too.
+            // Errors of earlier sends (such as a peer's closed port) are also reported here.
             let Ok((length, _)) = socket.try_recv_from(&mut datagram) else {
                 return;
             };
--- a/crates/agent/src/tcp_flow.rs
+++ b/crates/agent/src/tcp_flow.rs
@@ -1,4 +1,4 @@
-//! The task of one TCP flow.
+//! The task of one TCP flow: splices the client's packets with a connection to the back end.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,97 +12,97 @@
 use crate::back_end;
 use crate::fabric::FabricSink;
 use crate::flows::{FlowEvent, FlowId};
-use crate::load::FlowInFlight;
-use crate::plant::Plant;
+use crate::load::InFlightGuard;
+use crate::planted_defect::PlantedDefect;
 use crate::timestamps;
 use crate::view::OwnTarget;
 
-/// Buffers of one flow, in bytes. Most flows are idle feeds: small buffers
-/// keep 2,778 flows per target cheap.
+/// Buffer sizes of one flow, in bytes. Most flows are idle feeds, and a target holds up to 2,778
+/// of them, so the buffers are small.
 const BUFFERS: BufferSizes = BufferSizes { receive: 4 << 10, send: 16 << 10 };
-/// Longest time from the opening packet to the end of the handshake. The caller
-/// may take the flow for open while all its packets are lost, as when a dead
-/// balancer still gets its share: giving up early would break that flow.
+/// Maximum time from the opening packet to the end of the handshake. The client may consider the
+/// flow open while all its packets are lost, for example while a dead balancer still receives its
+/// share of the traffic. A shorter timeout would break such a flow.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A flow that is still opening after this long is not counted as in flight: its
-/// caller has probably gone to another agent or away.
-const EXPECTED_HANDSHAKE: Duration = Duration::from_secs(1);
+/// A flow that is still half-open after this time is no longer counted as in flight: its client
+/// has probably taken up another agent's answer or given up.
+const EXPECTED_HANDSHAKE_TIME: Duration = Duration::from_secs(1);
 
-/// What a flow's task needs.
+/// State of a TCP flow's task.
 pub(crate) struct TcpFlow {
     pub(crate) id: FlowId,
     pub(crate) own: OwnTarget,
     pub(crate) opening_packet: Vec<u8>,
     pub(crate) packets: mpsc::Receiver<Vec<u8>>,
     pub(crate) sink: FabricSink,
-    pub(crate) in_flight: FlowInFlight,
+    pub(crate) in_flight: InFlightGuard,
     pub(crate) events: mpsc::UnboundedSender<FlowEvent>,
-    /// Seed of what the stack draws, from the system's secure source.
+    /// Seed of the stack's random numbers, from the system's secure random source.
     pub(crate) seed: u64,
-    /// The first sequence number, which names this agent's target.
+    /// The initial sequence number, which encodes this agent's target; random if `None`.
     pub(crate) initial_sequence: Option<u32>,
-    /// A defect planted on purpose.
-    pub(crate) plant: Option<Plant>,
+    /// The deliberate defect, if any.
+    pub(crate) planted_defect: Option<PlantedDefect>,
 }
 
 struct Observer {
     key: FlowKey,
     has_timestamps: bool,
     established: Arc<AtomicBool>,
-    in_flight: Arc<FlowInFlight>,
+    in_flight: Arc<InFlightGuard>,
     events: mpsc::UnboundedSender<FlowEvent>,
 }
 
 impl FlowObserver for Observer {
     fn on_established(&mut self) {
-        // The main loop is gone only when the process is ending.
+        // The main loop is gone only while the process exits.
         let _ = self
             .events
             .send(FlowEvent::Opened { key: self.key, has_timestamps: self.has_timestamps });
         self.established.store(true, Ordering::Relaxed);
-        self.in_flight.caller_sent();
+        self.in_flight.note_client_data();
     }
 
     fn on_peer_data(&mut self) {
-        self.in_flight.caller_sent();
+        self.in_flight.note_client_data();
     }
 
     fn on_stream_data(&mut self) {
-        self.in_flight.back_end_sent();
+        self.in_flight.note_answered();
     }
 
     fn on_finished(&mut self) {
-        self.in_flight.back_end_sent();
+        self.in_flight.note_answered();
     }
 }
 
 impl TcpFlow {
-    /// Connects to the back end, then answers the caller and carries bytes
-    /// until the flow ends. Reports the end as an event.
+    /// Connects to the back end, then answers the client and copies bytes in both directions until
+    /// the flow ends. Reports the end as an event.
     pub(crate) async fn run(self) {
         let flow = self.id;
         let events = self.events.clone();
-        let event = match self.carry().await {
+        let event = match self.connect_and_splice().await {
             Ok(end) => FlowEvent::Ended { flow, end },
-            Err(unopened) => unopened,
+            Err(not_opened) => not_opened,
         };
         let _ = events.send(event);
     }
 
-    async fn carry(mut self) -> Result<SpliceEnd, FlowEvent> {
+    async fn connect_and_splice(mut self) -> Result<SpliceEnd, FlowEvent> {
         let stream = match back_end::connect_tcp(&self.own, &self.id.key).await {
             Ok(stream) => stream,
-            Err(reason) => return Err(self.unopened(reason)),
+            Err(reason) => return Err(self.not_opened(reason)),
         };
         let options = EndpointOptions {
             buffers: BUFFERS,
             seed: self.seed,
             timestamps: Some(timestamps::now),
             initial_sequence: self.initial_sequence,
-            resets_early: self.plant == Some(Plant::ResetEarly),
+            resets_early: self.planted_defect == Some(PlantedDefect::ResetEarly),
         };
         let Ok(mut endpoint) = TcpEndpoint::listen(self.id.key.destination, options) else {
-            return Err(self.unopened(RefusalReason::BackEndRefused));
+            return Err(self.not_opened(RefusalReason::BackEndRefused));
         };
         let has_timestamps = has_timestamps(&self.opening_packet);
         endpoint.receive(self.opening_packet);
@@ -116,24 +116,25 @@
             events: self.events,
         };
         let packets = &mut self.packets;
-        let carried = splice(endpoint, stream, packets, self.sink, observer, HANDSHAKE_TIMEOUT);
-        tokio::pin!(carried);
+        let splicing = splice(endpoint, stream, packets, self.sink, observer, HANDSHAKE_TIMEOUT);
+        tokio::pin!(splicing);
         tokio::select! {
-            end = &mut carried => return Ok(end),
-            () = tokio::time::sleep(EXPECTED_HANDSHAKE) => {}
+            end = &mut splicing => return Ok(end),
+            () = tokio::time::sleep(EXPECTED_HANDSHAKE_TIME) => {}
         }
         if !established.load(Ordering::Relaxed) {
-            in_flight.back_end_sent();
+            in_flight.note_answered();
         }
-        Ok(carried.await)
+        Ok(splicing.await)
     }
 
-    fn unopened(self, reason: RefusalReason) -> FlowEvent {
+    fn not_opened(self, reason: RefusalReason) -> FlowEvent {
         FlowEvent::NotOpened { flow: self.id, reason, opening_packet: self.opening_packet }
     }
 }
 
-/// Whether the caller offers TCP timestamps, by which its packets find home.
+/// Whether the client offers TCP timestamps. Their echoes carry the holder hint, by which the
+/// flow's later packets are routed to this agent.
 fn has_timestamps(opening_packet: &[u8]) -> bool {
     decode_packet(opening_packet)
         .is_ok_and(|view| view.tcp().is_some_and(|segment| segment.timestamp_echo.is_some()))
