--- a/crates/agent/src/flows.rs
+++ b/crates/agent/src/flows.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of flows and takes in what they report.
+//! Starts the tasks of flows and handles the events that they report.
 
 use std::time::Instant;
 
@@ -12,34 +12,34 @@
 
 use crate::dispatch::Announcement;
 use crate::flow_log;
-use crate::plant::Plant;
+use crate::planted_defect::PlantedDefect;
 use crate::run::{Agent, random_u64};
 use crate::tcp_flow::TcpFlow;
 use crate::udp_flow::UdpFlow;
 
-/// Packets of one flow that may wait for its task; further ones are dropped.
-const FLOW_QUEUE: usize = 64;
+/// Maximum number of packets queued for a flow's task; further packets are dropped.
+const FLOW_QUEUE_CAPACITY: usize = 64;
 
-/// What a flow's task reports to the main loop.
+/// Event that a flow's task reports to the main loop.
 #[derive(Debug)]
 pub(crate) enum FlowEvent {
     /// The handshake is complete.
     Opened { key: FlowKey, has_timestamps: bool },
-    /// The back end took no connection; nothing was answered to the caller yet.
+    /// The back end accepted no connection; the client has not been answered yet.
     NotOpened { flow: FlowId, reason: RefusalReason, opening_packet: Vec<u8> },
     /// The flow has ended.
     Ended { flow: FlowId, end: SpliceEnd },
 }
 
-/// Tells two flows of one key apart: an event of the earlier one must not touch
-/// the later one.
+/// Distinguishes successive flows with the same key: an event of an earlier flow must not affect a
+/// later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowId {
     pub(crate) key: FlowKey,
     pub(crate) number: u64,
 }
 
-/// How the main loop reaches a flow's task.
+/// The main loop's handle of a flow's task.
 #[derive(Debug)]
 pub(crate) struct FlowHandle {
     pub(crate) queue: mpsc::Sender<Vec<u8>>,
@@ -47,15 +47,15 @@
 }
 
 impl Agent {
-    pub(crate) fn open(&mut self, key: FlowKey, opening_packet: Vec<u8>) {
+    pub(crate) fn start_flow(&mut self, key: FlowKey, opening_packet: Vec<u8>) {
         let Some(own) = self.dispatcher.view().own else {
             return;
         };
-        let plant = self.dispatcher.planted();
+        let planted_defect = self.dispatcher.planted_defect();
         let (Ok(seed), Ok(random)) = (random_u64(), random_u64()) else {
             return self.metrics.packets_dropped.increment("no_random_source");
         };
-        let (queue, packets) = mpsc::channel(FLOW_QUEUE);
+        let (queue, packets) = mpsc::channel(FLOW_QUEUE_CAPACITY);
         self.next_flow += 1;
         let id = FlowId { key, number: self.next_flow };
         let handle = FlowHandle { queue, number: id.number };
@@ -79,8 +79,9 @@
                     in_flight,
                     events,
                     seed,
-                    initial_sequence: (!Plant::hides_holder(plant)).then_some(initial_sequence),
-                    plant,
+                    initial_sequence: (!PlantedDefect::hides_holder(planted_defect))
+                        .then_some(initial_sequence),
+                    planted_defect,
                 };
                 tokio::spawn(flow.run());
             }
@@ -94,9 +95,9 @@
     pub(crate) fn handle_event(&mut self, event: FlowEvent) {
         match event {
             FlowEvent::Opened { key, has_timestamps } => {
-                flow_log::opened(&self.log, &key);
+                flow_log::log_opened(&self.log, &key);
                 self.metrics.flows_opened.inc();
-                let announcement = self.dispatcher.opened(&key, has_timestamps);
+                let announcement = self.dispatcher.note_opened(&key, has_timestamps);
                 if let Some(Announcement { agent, answer }) = announcement {
                     self.answer(agent, answer);
                 }
@@ -108,35 +109,38 @@
         }
     }
 
-    /// Whether the table still holds this flow and not a later one of its key.
+    /// Whether the table still holds this flow rather than a later one with the same key.
     pub(crate) fn is_current(&self, flow: &FlowId) -> bool {
         let handle = self.dispatcher.flows.get(&flow.key);
         handle.is_some_and(|handle| handle.number == flow.number)
     }
 
-    /// Nothing has run, so the flow may be tried elsewhere: the opening packet
-    /// starts over, while this agent counts as having no room.
+    /// Handles a flow whose back end accepted no connection. No request has run, so another agent
+    /// may still open the flow: the opening packet is decided about again, while this agent counts
+    /// as having no capacity.
     pub(crate) fn handle_not_opened(
         &mut self,
         flow: &FlowId,
         reason: RefusalReason,
         packet: &[u8],
     ) {
-        flow_log::not_opened(&self.log, &flow.key, reason);
+        flow_log::log_not_opened(&self.log, &flow.key, reason);
         if !self.is_current(flow) {
             return;
         }
         self.dispatcher.flows.release(&flow.key);
         self.dispatcher.suspect_back_end(Instant::now());
-        warn!(self.log, "agent: Back end takes no connection."; "reason" => reason.name());
-        self.handle_own(Delivery::Forwarded, packet);
+        warn!(self.log, "agent: Back end accepts no connections; new flows go to other targets.";
+            "reason" => reason.name());
+        self.handle_kept_packet(Delivery::Forwarded, packet);
     }
 
     pub(crate) fn handle_ended(&mut self, flow: &FlowId, end: SpliceEnd) {
         let key = &flow.key;
-        flow_log::ended(&self.log, key, end);
+        flow_log::log_ended(&self.log, key, end);
         if self.is_current(flow) {
-            // A flow that never opened may be tried again by its caller at once.
+            // The client of a flow that never opened may retry at once, so its key is not
+            // quarantined.
             if key.protocol == Protocol::Tcp && end != SpliceEnd::NeverOpened {
                 self.dispatcher.flows.remove(key, Instant::now());
             } else {
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a balancer, keeps its configuration fresh, and stops it.
+//! Starts a balancer, keeps its configuration up to date, and shuts it down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +18,9 @@
 use crate::data_path::{DataPath, RECEIVE_TIMEOUT};
 use crate::metrics::BalancerMetrics;
 
-/// Receive buffer asked of the kernel, in bytes: rides out short pauses.
-const RECEIVE_BUFFER: usize = 8 << 20;
+/// Size of the receive buffer requested from the kernel, in bytes. Holds the packets that arrive
+/// while the data path is briefly paused.
+const RECEIVE_BUFFER_BYTES: usize = 8 << 20;
 
 struct BalancerHealth {
     settings: BalancerSettings,
@@ -41,11 +42,12 @@
     }
 }
 
-/// Runs a balancer until `stop` asks for a planned stop and the fabric has
-/// stopped sending. `ready` is told the bound addresses.
+/// Runs a balancer until `stop` requests a graceful shutdown and the fabric has stopped sending.
+/// Calls `ready` with the bound addresses.
 ///
 /// # Errors
-/// Names the step and the address that failed.
+/// When the keys cannot be read, an address cannot be bound or the data path fails; the error names
+/// the step and, if any, the address.
 pub async fn run(
     settings: BalancerSettings,
     log: Logger,
@@ -54,8 +56,8 @@
 ) -> eyre::Result<()> {
     let Keys { flow_hash: key, control: control_keys } =
         Keys::from_file(&settings.common.keys_file)?;
-    let mut declared = Metrics::new();
-    let metrics = BalancerMetrics::declare(&mut declared);
+    let mut registry = Metrics::new();
+    let metrics = BalancerMetrics::declare(&mut registry);
     let empty = RoutingTable::build(&ConfigDocument::default(), &key);
     let table = Arc::new(ArcSwap::from_pointee(empty));
     let stopping = Arc::new(AtomicBool::new(false));
@@ -68,7 +70,7 @@
         freshness: freshness.clone(),
         stopping: stopping.clone(),
     });
-    let admin = start_admin(settings.common.admin, health, declared.freeze(), &log)?;
+    let admin = start_admin(settings.common.admin, health, registry.freeze(), &log)?;
     let data_path = DataPath {
         socket,
         table: table.clone(),
@@ -76,8 +78,9 @@
         stopping: stopping.clone(),
         batch: settings.batch,
     };
-    let ended = start_data_path(data_path)?;
-    let (base, followed_base) = watch::channel(Arc::new(ConfigDocument::default()));
+    let data_path_ended = start_data_path(data_path)?;
+    let (platform_document, platform_documents) =
+        watch::channel(Arc::new(ConfigDocument::default()));
     let control_options = ControlOptions {
         listen: settings.control,
         zone: settings.common.zone.clone(),
@@ -86,7 +89,7 @@
         peers: settings.peers.clone(),
         founds: settings.found_group,
     };
-    let control = start_control(control_options, followed_base.clone(), log.clone()).await?;
+    let control = start_control(control_options, platform_documents.clone(), log.clone()).await?;
     let api = start_api(settings.api, control.clone(), &log)?;
     info!(log, "balancer: Started."; "data" => %data, "admin" => %admin.address(),
         "control" => %control.address, "api" => %api.address());
@@ -105,25 +108,25 @@
         log: FollowerLog { log: log.clone(), part: "balancer" },
     };
     let follow = follower.run(move |document| {
-        base.send_replace(document);
+        platform_document.send_replace(document);
     });
     let revision = metrics.revision.clone();
-    let put_in_force = put_in_force(followed_base, control.document(), move |document| {
+    let apply_newest = apply_newest(platform_documents, control.document(), move |document| {
         let next = table.load().rebuild(document);
         table.store(Arc::new(next));
         revision.set(i64::try_from(document.revision).unwrap_or(i64::MAX));
     });
-    let stopped = async {
+    let shutdown_wait = async {
         stop.await;
-        info!(log, "balancer: Planned stop began; forwarding until the fabric is quiet.");
+        info!(log, "balancer: Graceful shutdown began; forwarding until the fabric stops sending.");
         stopping.store(true, Ordering::Relaxed);
         std::future::pending::<()>().await;
     };
     tokio::select! {
         () = follow => Err(eyre!("follow configuration: ended unexpectedly")),
-        () = put_in_force => Err(eyre!("put configuration in force: ended unexpectedly")),
-        () = stopped => Err(eyre!("planned stop: ended unexpectedly")),
-        result = ended => {
+        () = apply_newest => Err(eyre!("apply configuration: ended unexpectedly")),
+        () = shutdown_wait => Err(eyre!("wait for shutdown: ended unexpectedly")),
+        result = data_path_ended => {
             result.wrap_err("data path: thread ended without a result")??;
             info!(log, "balancer: Stopped.");
             Ok(())
@@ -131,27 +134,27 @@
     }
 }
 
-/// Puts the agreed document in force once there is one, the platform's until
-/// then; never one with a lower revision than before.
-async fn put_in_force(
-    mut base: watch::Receiver<Arc<ConfigDocument>>,
+/// Applies each new document: the one that the balancers have agreed on if there is one, else the
+/// platform's. Never applies a document with a lower revision than the last one applied.
+async fn apply_newest(
+    mut platform_document: watch::Receiver<Arc<ConfigDocument>>,
     mut agreed: watch::Receiver<Arc<ConfigDocument>>,
     mut apply: impl FnMut(&ConfigDocument),
 ) {
-    let mut in_force = 0;
+    let mut applied_revision = 0;
     loop {
         let newest = {
             let agreed = agreed.borrow_and_update().clone();
-            let base = base.borrow_and_update().clone();
-            if agreed.revision > 0 { agreed } else { base }
+            let platform_document = platform_document.borrow_and_update().clone();
+            if agreed.revision > 0 { agreed } else { platform_document }
         };
-        if newest.revision > in_force {
-            in_force = newest.revision;
+        if newest.revision > applied_revision {
+            applied_revision = newest.revision;
             apply(&newest);
         }
-        // Both senders live as long as the daemon.
+        // Both senders exist until the daemon exits.
         let changed = tokio::select! {
-            changed = base.changed() => changed,
+            changed = platform_document.changed() => changed,
             changed = agreed.changed() => changed,
         };
         if changed.is_err() {
@@ -165,9 +168,9 @@
         .wrap_err_with(|| format!("bind data socket at {address}"))?;
     socket
         .set_read_timeout(Some(RECEIVE_TIMEOUT))
-        .wrap_err("set the data socket's read time-out")?;
-    // The kernel grants what its limit allows; less is no error.
-    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER);
+        .wrap_err("set the data socket's read timeout")?;
+    // The kernel may grant a smaller buffer; that is not an error.
+    let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(RECEIVE_BUFFER_BYTES);
     Ok(socket)
 }
 
@@ -177,7 +180,7 @@
         .name("data-path".to_owned())
         .spawn(move || {
             let result = data_path.run().wrap_err("receive packets from the fabric");
-            // The receiver is gone only when the process is ending anyway.
+            // The receiver is gone only while the process exits.
             let _ = sender.send(result);
         })
         .wrap_err("start the data path's thread")?;
--- a/crates/weirhinge/src/cli/agent.rs
+++ b/crates/weirhinge/src/cli/agent.rs
@@ -1,7 +1,7 @@
 //! `weirhinge agent`: runs an agent.
 
 use pico_args::Arguments;
-use weirhinge_agent::Plant;
+use weirhinge_agent::PlantedDefect;
 
 use super::CliFailure;
 use super::daemon::{COMMON_OPTIONS, print_ready, read_flag, read_options, run_daemon};
@@ -26,7 +26,7 @@
         print!("{USAGE}{COMMON_OPTIONS}");
         return Ok(());
     }
-    let plant: Option<Plant> = read_flag(&mut arguments, "--plant")?;
+    let planted_defect: Option<PlantedDefect> = read_flag(&mut arguments, "--plant")?;
     let options = read_options(arguments, |arguments, flags| {
         flags.target = read_flag(arguments, "--target")?;
         flags.fabric = read_flag(arguments, "--fabric")?;
@@ -37,6 +37,6 @@
     })?;
     let settings = options.settings.into_agent(&options.origin).map_err(CliFailure::usage)?;
     run_daemon(options.log, |log, stop| {
-        weirhinge_agent::run(settings, plant, log, print_ready, stop.wait())
+        weirhinge_agent::run(settings, planted_defect, log, print_ready, stop.wait())
     })
 }
