--- a/crates/steering/src/client_rank.rs
+++ b/crates/steering/src/client_rank.rs
@@ -20,12 +20,12 @@
 const EPOCH_STEP: u16 = 40_503;
 
 /// Number of ranks for clients within their fair share.
-const RANK_RANGE: u32 = 1 << 16;
+const RANGE: u32 = 1 << 16;
 /// Number of ranks after that range, for clients over their fair share. An opening may wait for
-/// `1 - 0.75 * rank` of its budget, where `rank` is relative to [`RANK_RANGE`]. At the end of these
+/// `1 - 0.75 * rank` of its budget, where `rank` is relative to [`RANGE`]. At the end of these
 /// ranks that is an eighth, so that a short queue, which delays no other client, is no reason to
 /// reject a heavy one.
-const OVER_SHARE_RANKS: u32 = RANK_RANGE / 6;
+const OVER_SHARE: u32 = RANGE / 6;
 
 /// A client's position in the order in which clients are served. Within the fair share, 0 is served
 /// first and 65,535 is rejected first; clients over their share come after 65,535.
@@ -36,24 +36,23 @@
     /// The rank that is served before all others.
     pub const SERVED_FIRST: ClientRank = ClientRank(0);
     /// The rank that is rejected first among clients within their fair share.
-    pub const REFUSED_FIRST: ClientRank = ClientRank(RANK_RANGE - 1);
+    pub const REFUSED_FIRST: ClientRank = ClientRank(RANGE - 1);
 
     /// Returns the rank as a number; 65,536 is the end of the range within the fair share.
     pub fn value(self) -> u32 {
         self.0
     }
 
-    /// Returns the rank of a client that already uses this many times its fair share. It comes
+    /// Returns the rank of a client that already uses its fair share this many `times`. It comes
     /// after all clients that use fewer, and in the order of the original ranks among equals.
-    pub fn with_shares_used(self, shares_used: u32) -> Self {
-        if shares_used == 0 {
+    pub fn with_shares_used(self, times: u32) -> Self {
+        if times == 0 {
             return self;
         }
-        let first_rank = OVER_SHARE_RANKS - OVER_SHARE_RANKS / shares_used;
-        let width =
-            OVER_SHARE_RANKS / shares_used - OVER_SHARE_RANKS / shares_used.saturating_add(1);
-        let offset = self.0.min(RANK_RANGE - 1) / 16 * width / (RANK_RANGE / 16);
-        Self(RANK_RANGE + first_rank + offset)
+        let begin = OVER_SHARE - OVER_SHARE / times;
+        let width = OVER_SHARE / times - OVER_SHARE / times.saturating_add(1);
+        let place = self.0.min(RANGE - 1) / 16 * width / (RANGE / 16);
+        Self(RANGE + begin + place)
     }
 }
 
@@ -65,8 +64,8 @@
 
 /// Returns the rank of a client at a time of day, in milliseconds since 1970. Epochs of different
 /// clients begin at different times, so that not all ranks change at once.
-pub fn client_rank(client_address: Ipv4Addr, unix_ms: u64) -> ClientRank {
-    let hash = address_hash(client_address);
+pub fn client_rank(client: Ipv4Addr, unix_ms: u64) -> ClientRank {
+    let hash = client_hash(client);
     let base = hash as u16;
     let epoch_shift = (hash >> 16) % RANK_EPOCH_MS;
     let epoch = unix_ms.wrapping_add(epoch_shift) / RANK_EPOCH_MS;
@@ -74,8 +73,8 @@
 }
 
 /// Hashes a client's address to the same value in every daemon.
-fn address_hash(client_address: Ipv4Addr) -> u64 {
+fn client_hash(client: Ipv4Addr) -> u64 {
     let mut hasher = SipHasher13::new();
-    hasher.write_u32(client_address.to_bits());
+    hasher.write_u32(client.to_bits());
     hasher.finish()
 }
