--- a/crates/stack/src/endpoint.rs
+++ b/crates/stack/src/endpoint.rs
@@ -235,7 +235,7 @@
         self.socket_mut().send_slice(bytes).unwrap_or(0)
     }
 
-    /// Closes the sending direction once all written bytes have been sent.
+    /// Closes the sending direction after the data written so far.
     pub fn close(&mut self) {
         self.socket_mut().close();
     }
