--- a/crates/steering/src/balancer/client_shares.rs
+++ b/crates/steering/src/balancer/client_shares.rs
@@ -19,7 +19,7 @@
 
 /// Openings of each client that are waiting or were admitted recently.
 ///
-/// Holds at most one entry for each waiting opening, plus [`MAX_RECENT`] entries.
+/// Holds at most one entry for each waiting opening, plus `MAX_RECENT` entries.
 #[derive(Clone, Debug, Default)]
 pub struct ClientShares {
     openings: HashMap<Ipv4Addr, u32>,
