--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -178,20 +178,20 @@
         &mut self,
         agent: Ipv4Addr,
         zone: ZoneId,
-        claim: &TargetStatus,
+        target_status: &TargetStatus,
         now: Millis,
     ) {
         let status = self.statuses.entry(agent).or_default();
-        status.update_load(claim.load, now);
-        status.leaving_at = claim.leaving.then_some(now);
+        status.update_load(target_status.load, now);
+        status.leaving_at = target_status.leaving.then_some(now);
         // Digests that were sent before the report that the target ended may arrive after it.
-        status.ended_at = status.ended_at.filter(|_| claim.leaving);
-        let usable = claim.alive && !claim.leaving;
+        status.ended_at = status.ended_at.filter(|_| target_status.leaving);
+        let usable = target_status.alive && !target_status.leaving;
         self.targets_reported += u64::from(usable && status.reported_target.is_none());
-        let service = ServiceId::of(&claim.service);
+        let service = ServiceId::of(&target_status.service);
         status.reported_target =
             usable.then_some(ReportedTarget { service, zone, received_at: now });
-        status.without_former_flows = claim
+        status.without_former_flows = target_status
             .without_former_flows
             .map(|configuration| WithoutFormerFlows { configuration, received_at: now });
         self.last_contact_at = Some(now);
--- a/crates/steering/tests/balancer.rs
+++ b/crates/steering/tests/balancer.rs
@@ -6,8 +6,8 @@
 use std::net::Ipv4Addr;
 
 use support::{
-    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, flow, forwarded, is_far, opening,
-    targets_in_two_zones,
+    Fixture, LATER, OTHER, SERVICE, Store, agent, data, flow, forwarded, is_far, opening,
+    target_status, targets_in_two_zones,
 };
 use weirhinge_fleet::{ReturnReason, ServiceId, TargetState, ZoneId};
 use weirhinge_steering::{
@@ -402,7 +402,7 @@
     let mut fixture = Fixture::new(&Store::with_targets(0));
     fixture.fresh = false;
     fixture.note_target_status(agent(1), LATER);
-    fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &claim(OTHER), LATER);
+    fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &target_status(OTHER), LATER);
     let decision = fixture.client(&opening(flow(1)), LATER + 100);
     assert_eq!(forwarded(&decision).agent, agent(1));
 }
--- a/crates/steering/tests/evacuation.rs
+++ b/crates/steering/tests/evacuation.rs
@@ -4,7 +4,9 @@
 
 use std::net::Ipv4Addr;
 
-use support::{Fixture, LATER, SERVICE, Store, agent, claim, data, flow, forwarded, opening};
+use support::{
+    Fixture, LATER, SERVICE, Store, agent, data, flow, forwarded, opening, target_status,
+};
 use weirhinge_fleet::{ReturnReason, ServiceId, TargetState, ZoneId};
 use weirhinge_steering::{Agent, Arrival, Decision, DeliveryDecision, ResetReason, WaitOutcome};
 
@@ -62,7 +64,7 @@
     let mut fixture = Fixture { fresh: false, ..fixture(&store) };
     fixture.note_target_status(agent(9), LATER);
     assert!(!matches!(fixture.client(&opening(flow(1)), LATER), Decision::Forward(_)));
-    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
+    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &target_status(SERVICE), LATER);
     assert_eq!(forwarded(&fixture.client(&opening(flow(2)), LATER)).agent, agent(60));
 }
 
--- a/crates/steering/tests/expected_wait.rs
+++ b/crates/steering/tests/expected_wait.rs
@@ -6,7 +6,7 @@
 use std::net::Ipv4Addr;
 
 use support::agent_fixture::{answer, arrival, output};
-use support::{Fixture, LATER, SERVICE, Store, agent, claim, data, flow, opening};
+use support::{Fixture, LATER, SERVICE, Store, agent, data, flow, opening, target_status};
 use weirhinge_fleet::{
     ColdStartPolicy, Millis, ReturnReason, ServiceId, TargetLoad, TargetState, TargetStatus, ZoneId,
 };
@@ -120,9 +120,9 @@
             }
         }
         if (now + number as u64 * 70).is_multiple_of(DIGEST_MS) {
-            let claim = TargetStatus { load: self.load(number), ..claim(SERVICE) };
+            let target_status = TargetStatus { load: self.load(number), ..target_status(SERVICE) };
             let address = agent(number as u8 + 1);
-            self.fixture.balancer.note_target_status(address, ZoneId::of("a"), &claim, now);
+            self.fixture.balancer.note_target_status(address, ZoneId::of("a"), &target_status, now);
         }
     }
 
@@ -251,8 +251,13 @@
     for port in 0..400 {
         let now = LATER + Millis::from(port) * 10_000;
         for (number, load) in reports {
-            let claim = TargetStatus { load: *load, ..claim(SERVICE) };
-            fixture.balancer.note_target_status(agent(*number), ZoneId::of("a"), &claim, now - age);
+            let target_status = TargetStatus { load: *load, ..target_status(SERVICE) };
+            fixture.balancer.note_target_status(
+                agent(*number),
+                ZoneId::of("a"),
+                &target_status,
+                now - age,
+            );
             fixture.balancer.note_answer(agent(*number), *load, now - age);
         }
         let decision = fixture.client(&opening(flow(port)), now);
--- a/crates/steering/tests/former_flow_reports.rs
+++ b/crates/steering/tests/former_flow_reports.rs
@@ -8,8 +8,8 @@
 
 use support::agent_fixture::{answer, arrival, deliver, new_agent, output};
 use support::{
-    Fixture, LATER, OTHER, SERVICE, Store, agent, claim, data, endpoint, fleet_agent, flow,
-    opening, paths,
+    Fixture, LATER, OTHER, SERVICE, Store, agent, data, endpoint, fleet_agent, flow, opening,
+    paths, target_status,
 };
 use weirhinge_fleet::{Route, RoutePart, TargetState, TargetStatus, ZoneId};
 use weirhinge_steering::{
@@ -160,8 +160,8 @@
 }
 
 fn report(fixture: &mut Fixture, agent: Ipv4Addr, without: Option<u64>, now: u64) {
-    let claim = TargetStatus { without_former_flows: without, ..claim(OTHER) };
-    fixture.balancer.note_target_status(agent, ZoneId::of("a"), &claim, now);
+    let target_status = TargetStatus { without_former_flows: without, ..target_status(OTHER) };
+    fixture.balancer.note_target_status(agent, ZoneId::of("a"), &target_status, now);
 }
 
 /// Whether the search for a lost flow includes the target of the other service.
--- a/crates/steering/tests/former_services.rs
+++ b/crates/steering/tests/former_services.rs
@@ -136,7 +136,7 @@
     store.route(&[(SERVICE, 1)]);
     let mut fixture = Fixture::new(&store);
     let zone = weirhinge_fleet::ZoneId::of("a");
-    fixture.balancer.note_target_status(agent(11), zone, &support::claim(OTHER), LATER);
+    fixture.balancer.note_target_status(agent(11), zone, &support::target_status(OTHER), LATER);
     assert_found(&mut fixture, &[(1, agent(11)), (2, agent(11))], LATER + 10);
 }
 
--- a/crates/steering/tests/home_regions.rs
+++ b/crates/steering/tests/home_regions.rs
@@ -5,8 +5,8 @@
 use std::net::Ipv4Addr;
 
 use support::{
-    Fixture, LATER, SERVICE, Store, agent, claim, data, endpoint, flow, forwarded, opening, path,
-    route_to,
+    Fixture, LATER, SERVICE, Store, agent, data, endpoint, flow, forwarded, opening, path,
+    route_to, target_status,
 };
 use weirhinge_fleet::{Route, TargetState, ZoneId};
 use weirhinge_steering::{Decision, ResetReason};
@@ -46,7 +46,7 @@
 #[test]
 fn searches_stay_in_permitted_regions() {
     let mut fixture = Fixture::new(&store(&["near"]));
-    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &claim(SERVICE), LATER);
+    fixture.balancer.note_target_status(agent(60), ZoneId::of("b"), &target_status(SERVICE), LATER);
     fixture.note_target_status(agent(3), LATER);
     let mut asked = path(&fixture.client(&data(flow(1)), LATER));
     asked.sort();
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use proptest::prelude::*;
-use support::{Fixture, LATER, SERVICE, Store, agent, claim, flow, opening};
+use support::{Fixture, LATER, SERVICE, Store, agent, flow, opening, target_status};
 use weirhinge_fleet::{Millis, ReturnReason, ZoneId};
 use weirhinge_steering::{AgentStatuses, Decision, OverloadMonitor, PeerLoad};
 
@@ -58,8 +58,13 @@
         }
         Event::Answered(number) => fixture.balancer.note_answer(agent(number), 0, *now),
         Event::StatusReported(number, leaving) => {
-            let claim = weirhinge_fleet::TargetStatus { leaving, ..claim(SERVICE) };
-            fixture.balancer.note_target_status(agent(number), ZoneId::of("a"), &claim, *now);
+            let target_status = weirhinge_fleet::TargetStatus { leaving, ..target_status(SERVICE) };
+            fixture.balancer.note_target_status(
+                agent(number),
+                ZoneId::of("a"),
+                &target_status,
+                *now,
+            );
         }
         Event::Returned(number, reason) => {
             fixture.returned(&opening(flow(9_999)), agent(number), reason, *now);
@@ -106,12 +111,12 @@
 #[test]
 fn probe_answer_ends_isolation() {
     let mut statuses = AgentStatuses::default();
-    statuses.note_target_status(agent(1), ZoneId::of("a"), &claim(SERVICE), 0);
+    statuses.note_target_status(agent(1), ZoneId::of("a"), &target_status(SERVICE), 0);
     for _ in 0..8 {
         statuses.note_opening_sent(agent(1), 10);
     }
     assert!(!statuses.needs_probes(100) && statuses.needs_probes(160));
-    statuses.note_target_status(agent(1), ZoneId::of("a"), &claim(SERVICE), 700);
+    statuses.note_target_status(agent(1), ZoneId::of("a"), &target_status(SERVICE), 700);
     assert!(statuses.is_isolated(710));
     statuses.note_probe_answer(720);
     assert!(!statuses.is_isolated(720) && !statuses.needs_probes(2_000));
--- a/crates/steering/tests/search_unresponsive.rs
+++ b/crates/steering/tests/search_unresponsive.rs
@@ -5,7 +5,8 @@
 use std::net::Ipv4Addr;
 
 use support::{
-    Fixture, LATER, SERVICE, Store, agent, claim, data, flow, forwarded, opening, path, paths,
+    Fixture, LATER, SERVICE, Store, agent, data, flow, forwarded, opening, path, paths,
+    target_status,
 };
 use weirhinge_fleet::{ReturnReason, TargetState, TargetStatus, ZoneId};
 use weirhinge_steering::{Decision, DropReason, ResetReason};
@@ -249,7 +250,7 @@
     };
     fixture.balancer.note_target_ended(agent(2), LATER);
     // A digest that the agent sent before its final report, and that arrives after it.
-    let leaving = TargetStatus { leaving: true, ..claim(SERVICE) };
+    let leaving = TargetStatus { leaving: true, ..target_status(SERVICE) };
     fixture.balancer.note_target_status(agent(2), ZoneId::of("a"), &leaving, LATER + 1);
     assert!(!asked(&mut fixture, 1));
     fixture.note_target_status(agent(2), LATER + 100);
--- a/crates/steering/tests/support/fixture.rs
+++ b/crates/steering/tests/support/fixture.rs
@@ -5,7 +5,7 @@
 use weirhinge_fleet::{ReturnReason, TargetState, ZoneId};
 use weirhinge_steering::{Balancer, ClientPacket, Context, Decision, FleetView, PacketHeader};
 
-use super::{SERVICE, Store, agent, claim, flow, forwarded, opening};
+use super::{SERVICE, Store, agent, flow, forwarded, opening, target_status};
 
 /// A time long after the start, when all settling times are over.
 pub const LATER: u64 = 100_000;
@@ -90,7 +90,7 @@
 
     /// An agent in zone `a` reports a live target of the service.
     pub fn note_target_status(&mut self, agent: Ipv4Addr, now: u64) {
-        self.balancer.note_target_status(agent, ZoneId::of("a"), &claim(SERVICE), now);
+        self.balancer.note_target_status(agent, ZoneId::of("a"), &target_status(SERVICE), now);
     }
 
     pub fn continue_search(&mut self, header: &PacketHeader, now: u64) -> Decision {
--- a/crates/steering/tests/support/mod.rs
+++ b/crates/steering/tests/support/mod.rs
@@ -243,7 +243,7 @@
     }
 }
 
-pub fn claim(service: &str) -> TargetStatus {
+pub fn target_status(service: &str) -> TargetStatus {
     TargetStatus {
         service: service.to_owned(),
         alive: true,
