--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,15 @@
-//! State that daemons share through a store, which they only read, and through messages between
-//! them: the configuration, the targets and the other daemons.
+//! The state that the daemons of a fleet share: the configuration, the targets, the evacuated zones
+//! and the balancers.
 //!
-//! This crate does no I/O: times and messages are passed in. The store numbers every change with
-//! one revision, so a [`Replica`] needs no consensus: the entry with the later position wins, no
-//! matter which daemon passed it on. When the store is restored from a backup, its revisions go
-//! back too; then the versions and sequence numbers that the writers assign decide
-//! ([`TargetEntry`], [`VersionedConfiguration`]). The [`PeerTable`] tracks which daemons exist, and
-//! [`reader`] decides which few daemons read the store on behalf of all.
+//! Daemons learn it from the platform's store, which they only read, and from each other's
+//! messages. This crate does no I/O: times and messages are passed in.
+//!
+//! The store numbers every change with one revision, so a [`Replica`] needs no consensus: the entry
+//! with the later position wins, no matter which daemon passed it on. When the store is restored
+//! from a backup, its revisions go back too, and a new era begins (see [`Position`]); then the
+//! versions and sequence numbers that the writers assign decide ([`TargetEntry`],
+//! [`VersionedConfiguration`]). The [`PeerTable`] holds the known balancers, and [`reader`] elects
+//! the few of them that read the store on behalf of all daemons.
 
 mod era_hold;
 mod evacuation;
--- a/crates/relay/src/agent/mod.rs
+++ b/crates/relay/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent daemon, which runs next to one target.
+//! The agent daemon, which is co-located with one target.
 
 mod delivery;
 mod grants;
--- a/crates/relay/src/agent/output.rs
+++ b/crates/relay/src/agent/output.rs
@@ -1,4 +1,4 @@
-//! Handles packets that the target sent or did not take.
+//! Handles packets from the target: those for clients, and bounced ones.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
--- a/crates/steering/src/agent/breaker.rs
+++ b/crates/steering/src/agent/breaker.rs
@@ -1,8 +1,8 @@
 //! A circuit breaker between an agent and its target, closed while the target answers successfully.
 //!
 //! A target whose requests fail immediately looks idle and attracts new flows. Only its agent sees
-//! all of its answers, whichever balancer the requests came through, so the agent itself rejects
-//! new flows and balancers need not agree on anything. A balancer that is rejected by several such
+//! all of its answers, whichever balancer the requests came through, so the agent itself refuses
+//! new flows and balancers need not agree on anything. A balancer that is refused by several such
 //! agents has its opening packet admitted anyway, so that no target is excluded where most of them
 //! fail.
 
@@ -26,7 +26,7 @@
 /// A state change of the breaker, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakerChange {
-    /// New flows are rejected from now on.
+    /// New flows are refused from now on.
     Opened {
         /// Consecutive failures.
         consecutive: u32,
--- a/crates/steering/src/agent/granting.rs
+++ b/crates/steering/src/agent/granting.rs
@@ -85,11 +85,11 @@
         self.grants.record_use(arrival.balancer, arrival.urgent, remaining, now)
     }
 
-    /// Whether a new flow is rejected because the target fails. A flow that may wait found no
+    /// Whether a new flow is refused because the target fails. A flow that may wait found no
     /// better target and is admitted. A flow with a valid grant passed the breaker when the grant
-    /// was issued, and is rejected only if the target was ejected since. Any other flow that is
+    /// was issued, and is refused only if the target was ejected since. Any other flow that is
     /// admitted may start a trial.
-    pub(super) fn breaker_rejects(
+    pub(super) fn breaker_refuses(
         &mut self,
         arrival: &Arrival<'_>,
         grant: GrantUse,
@@ -129,7 +129,7 @@
 
     /// Returns the balancer that gets the next grant, if the target has capacity for one.
     fn next_recipient(&self, now: Millis) -> Option<(Ipv4Addr, Class)> {
-        let accepts_flows = self.rejection_reason().is_none()
+        let accepts_flows = self.refusal_reason().is_none()
             && self.breaker.would_admit(now)
             && !self.service_time.is_stalled(now)
             && self.cold_start_allows(now);
--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -1,6 +1,6 @@
 //! Decisions of an agent about packets to and from its target.
 //!
-//! An agent runs next to one target. It delivers the packets that balancers forward to the target,
+//! An agent is co-located with one target. It delivers the packets that balancers forward to the target,
 //! and queues or returns opening packets (SYN) for which the target has no capacity. It grants
 //! capacity to balancers at which openings wait, and notifies balancers of flows that the target
 //! holds. A target bounces packets of flows that it does not hold: it sends them back marked as
@@ -198,7 +198,7 @@
                 return DeliveryDecision::Return(ReturnReason::Evacuated);
             }
             let is_new = !self.flows.contains_key(&arrival.header.client_flow());
-            if is_new && self.breaker_rejects(arrival, grant, now) {
+            if is_new && self.breaker_refuses(arrival, grant, now) {
                 return DeliveryDecision::Return(ReturnReason::Failing);
             }
             if is_new && !self.has_capacity(arrival, grant, now) {
@@ -220,7 +220,7 @@
     pub fn next_outcome(&mut self, now: Millis) -> Option<WaitOutcome> {
         self.expire_expected(now);
         self.grants.expire(now);
-        if let Some(reason) = self.rejection_reason()
+        if let Some(reason) = self.refusal_reason()
             && let Some(opening) = self.openings.take_newest()
         {
             return Some(WaitOutcome::Return(opening, reason));
@@ -248,8 +248,8 @@
         Some(RestartCheck { flow: check.flow, packet: check.latest.bytes, echo })
     }
 
-    /// Why new flows are rejected regardless of load, if they are.
-    fn rejection_reason(&self) -> Option<ReturnReason> {
+    /// Why new flows are refused regardless of load, if they are.
+    fn refusal_reason(&self) -> Option<ReturnReason> {
         match (self.leaving, self.evacuated) {
             (true, _) => Some(ReturnReason::Leaving),
             (false, true) => Some(ReturnReason::Evacuated),
--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -17,7 +17,7 @@
 /// Unanswered search packets after which packet loss is no longer a likely cause.
 const PERSISTENT_UNANSWERED_SEARCHES: u32 = 2;
 /// How long an agent's report that its target is failing is valid: about the time for which the
-/// agent first rejects new flows.
+/// agent first refuses new flows.
 const FAILING_MS: Millis = 1_000;
 /// How long an agent's report that it is shutting down is valid: longer than a stop and a start
 /// take. In a large fleet, a balancer may receive nothing from the agent's next process for much
--- a/crates/steering/src/client_rank.rs
+++ b/crates/steering/src/client_rank.rs
@@ -1,7 +1,7 @@
-//! Ranks clients by IPv4 address, so that balancers under overload reject the same clients.
+//! Ranks clients by IPv4 address, so that balancers under overload refuse the same clients.
 //!
 //! All balancers compute a client's rank from its address and the time of day, without exchanging
-//! messages: a client that one balancer rejects is rejected by all, so that its retries do not
+//! messages: a client that one balancer refuses is refused by all, so that its retries do not
 //! displace other clients (like the user priority of DAGOR). Ranks change with each epoch, which
 //! gives every client an equal share over time.
 
@@ -11,7 +11,7 @@
 use siphasher::sip::SipHasher13;
 use weirhinge_fleet::Millis;
 
-/// How long a client keeps its rank: longer than a rejected client takes to use up its retries, so
+/// How long a client keeps its rank: longer than a refused client takes to use up its retries, so
 /// that the later ones get the same rank as the first attempt.
 pub const RANK_EPOCH_MS: Millis = 4_000;
 /// How far a rank moves with each epoch: the range divided by the golden ratio. A client in the
@@ -24,18 +24,18 @@
 /// Number of ranks after that range, for clients over their fair share. An opening may wait for
 /// `1 - 0.75 * rank` of its budget, where `rank` is relative to [`RANGE`]. At the end of these
 /// ranks that is an eighth, so that a short queue, which delays no other client, is no reason to
-/// reject a heavy one.
+/// refuse a heavy one.
 const OVER_SHARE: u32 = RANGE / 6;
 
 /// A client's position in the order in which clients are served. Within the fair share, 0 is served
-/// first and 65,535 is rejected first; clients over their share come after 65,535.
+/// first and 65,535 is refused first; clients over their share come after 65,535.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientRank(u32);
 
 impl ClientRank {
     /// The rank that is served before all others.
     pub const SERVED_FIRST: ClientRank = ClientRank(0);
-    /// The rank that is rejected first among clients within their fair share.
+    /// The rank that is refused first among clients within their fair share.
     pub const REFUSED_FIRST: ClientRank = ClientRank(RANGE - 1);
 
     /// Returns the rank as a number; 65,536 is the end of the range within the fair share.
