--- a/crates/steering/src/agent/mod.rs
+++ b/crates/steering/src/agent/mod.rs
@@ -1,10 +1,10 @@
 //! Decisions of an agent about packets to and from its target.
 //!
-//! An agent is co-located with one target. It delivers the packets that balancers forward to the target,
-//! and queues or returns opening packets (SYN) for which the target has no capacity. It grants
-//! capacity to balancers at which openings wait, and notifies balancers of flows that the target
-//! holds. A target bounces packets of flows that it does not hold: it sends them back marked as
-//! bounced, with the echo label of their delivery.
+//! An agent is co-located with one target. It delivers the packets that balancers forward to the
+//! target, and queues or returns opening packets (SYN) for which the target has no capacity. It
+//! grants capacity to balancers at which openings wait, and notifies balancers of flows that the
+//! target holds. A target bounces packets of flows that it does not hold: it sends them back marked
+//! as bounced, with the echo label of their delivery.
 
 mod admission;
 mod breaker;
