--- a/crates/observe/src/admin.rs
+++ b/crates/observe/src/admin.rs
@@ -1,4 +1,4 @@
-//! The HTTP endpoint of a daemon: `/health` and `/metrics`.
+//! The admin HTTP server of a daemon: `GET /health` and `GET /metrics`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,42 +15,42 @@
 
 use crate::metrics::Metrics;
 
-/// Content type of the OpenMetrics text format.
+/// Content type of the OpenMetrics 1.0 text format.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The addresses at which a started daemon can be reached.
+/// The addresses that a started daemon listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct BoundAddresses {
-    /// UDP address of the data path.
+    /// UDP address for packets of flows.
     pub data: SocketAddr,
-    /// TCP address of health and metrics.
+    /// TCP address of the admin server (health and metrics).
     pub admin: SocketAddr,
-    /// TCP address for other balancers; none for agents.
+    /// TCP address for other balancers; `None` for agents.
     pub control: Option<SocketAddr>,
-    /// TCP address of the resource API; none for agents.
+    /// TCP address of the resource API; `None` for agents.
     pub api: Option<SocketAddr>,
 }
 
-/// What a daemon says about its health.
+/// Response body of `GET /health`.
 #[derive(Clone, Debug, Serialize, JsonSchema)]
 pub struct Health {
-    /// The daemon's name from its settings.
+    /// Name of the daemon, from its settings.
     pub name: String,
-    /// The daemon's zone from its settings.
+    /// Zone of the daemon, from its settings.
     pub zone: String,
-    /// The configuration revision in force here; 0 before the first.
+    /// Configuration revision in effect at this daemon; 0 before the first one.
     pub revision: u64,
-    /// Seconds since the platform last confirmed the configuration, if ever.
+    /// Seconds since the platform last confirmed the configuration; `None` if it never did.
     pub configuration_age_seconds: Option<u64>,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: bool,
-    /// Flows held; always 0 for a balancer.
+    /// Number of flows held; always 0 for a balancer.
     pub flows: u64,
 }
 
-/// Supplies a daemon's health when somebody asks.
+/// Supplies the daemon's health for each request to `/health`.
 pub trait HealthSource: Send + Sync + 'static {
-    /// The health at this moment.
+    /// Returns the current health.
     fn health(&self) -> Health;
 }
 
@@ -59,22 +59,22 @@
     metrics: Arc<Metrics>,
 }
 
-/// A running admin endpoint; stops when dropped.
+/// A running admin server; stops when dropped.
 pub struct AdminServer {
     server: HttpServer<AdminContext>,
 }
 
 impl AdminServer {
-    /// The address that the endpoint listens on.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.local_addr()
     }
 }
 
-/// Starts the endpoint at `address`.
+/// Starts the admin server on `address`.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error if `address` cannot be bound.
 pub fn start_admin(
     address: SocketAddr,
     health: Arc<dyn HealthSource>,
@@ -85,18 +85,18 @@
     api.register(get_health).map_err(|error| eyre!("register /health: {error}"))?;
     api.register(get_metrics).map_err(|error| eyre!("register /metrics: {error}"))?;
     let context = AdminContext { health, metrics };
-    // Dropshot logs every request at info; only its warnings matter here.
-    let quiet =
+    // Dropshot logs every request at level info; only its warnings are of interest here.
+    let warnings_only =
         Logger::root(slog::LevelFilter::new(log.clone(), slog::Level::Warning).fuse(), slog::o!());
     let config = ConfigDropshot { bind_address: address, ..Default::default() };
-    let server = ServerBuilder::new(api, context, quiet)
+    let server = ServerBuilder::new(api, context, warnings_only)
         .config(config)
         .start()
-        .wrap_err_with(|| format!("start admin endpoint at {address}"))?;
+        .wrap_err_with(|| format!("start admin server on {address}"))?;
     Ok(AdminServer { server })
 }
 
-/// The daemon's health.
+/// Returns the daemon's health.
 #[endpoint { method = GET, path = "/health" }]
 async fn get_health(
     request: RequestContext<AdminContext>,
@@ -104,13 +104,14 @@
     Ok(HttpResponseOk(request.context().health.health()))
 }
 
-/// The daemon's metrics in the OpenMetrics text format.
+/// Returns the daemon's metrics in the OpenMetrics text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(request: RequestContext<AdminContext>) -> Result<Response<Body>, HttpError> {
-    let internal = |error: String| HttpError::for_internal_error(error);
-    let text = request.context().metrics.encode().map_err(|error| internal(error.to_string()))?;
+    let internal_error = |error: String| HttpError::for_internal_error(error);
+    let text =
+        request.context().metrics.encode().map_err(|error| internal_error(error.to_string()))?;
     Response::builder()
         .header(http::header::CONTENT_TYPE, OPEN_METRICS)
         .body(Body::from(text))
-        .map_err(|error| internal(error.to_string()))
+        .map_err(|error| internal_error(error.to_string()))
 }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,20 +1,20 @@
-//! What every daemon shows of itself: structured logs, metrics, and an HTTP
-//! endpoint for both health and metrics.
+//! Observability of the daemons: structured logs, metrics and the admin HTTP server, and the
+//! analysis of logs behind `weirhinge explain`.
 
 mod admin;
 mod line_writer;
 mod logging;
+mod merged_logs;
 mod metrics;
 mod route_load;
-mod story;
 mod timeline;
 
 pub use admin::{AdminServer, BoundAddresses, Health, HealthSource, start_admin};
-pub use line_writer::{LineWriter, Lines};
+pub use line_writer::{LineHandle, LineWriter};
 pub use logging::{LogFormat, LogOptions, LogOutput, Logging};
+pub use merged_logs::{LogLine, Story, StoryLine, Subject};
 pub use metrics::{Counter, Gauge, Histogram, Metrics, ReasonCounters};
 pub use route_load::{CallerLoad, OpeningCounts, RouteCallers, ZoneLoad};
-pub use story::{LogLine, Story, StoryLine, Subject};
 pub use timeline::{
     IdleDaemon, Interval, StartWave, StepLength, Timeline, TimelineOptions, TimelineReport,
 };
--- a/crates/observe/src/logging.rs
+++ b/crates/observe/src/logging.rs
@@ -1,7 +1,7 @@
 //! Builds the process's logger.
 //!
-//! Every message is a short sentence behind the prefix of its part, such as
-//! `balancer: ` or `agent: `; what varies goes into key-value pairs.
+//! Every message is a short fixed text with the prefix of its component, such as `balancer: ` or
+//! `agent: `; variable data goes into key-value pairs.
 
 use std::str::FromStr;
 use std::sync::Mutex;
@@ -10,16 +10,16 @@
 use eyre::eyre;
 use slog::{Drain, FnValue, Level, Logger, PushFnValue, Record, o};
 
-use crate::line_writer::{LineWriter, Lines};
+use crate::line_writer::{LineHandle, LineWriter};
 use crate::metrics::Counter;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for a person's eye, the default.
+    /// Human-readable lines; the default.
     #[default]
     Terminal,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogOutput {
-    /// Standard error, the default.
+    /// Standard error; the default.
     #[default]
     StandardError,
     /// Standard output.
@@ -54,14 +54,14 @@
     }
 }
 
-/// How to log.
+/// Options of the process's logger.
 #[derive(Clone, Copy, Debug)]
 pub struct LogOptions {
-    /// Where the lines go; lines for a person's eye always go to standard error.
+    /// Destination of JSON lines; human-readable lines always go to standard error.
     pub output: LogOutput,
     /// Format of the lines.
     pub format: LogFormat,
-    /// Least severe level that is written.
+    /// Minimum severity of lines that are written.
     pub level: Level,
 }
 
@@ -71,17 +71,17 @@
     }
 }
 
-/// A running logger and the thread that writes for it.
+/// A running logger and its writer thread.
 pub struct Logging {
-    /// The process's logger; copies of it are cheap.
+    /// The process's logger; cheap to clone.
     pub log: Logger,
-    /// Lines that found no room because the output was not read fast enough.
+    /// Number of lines dropped because the output was read too slowly or failed.
     pub lost: Counter,
     writer: LineWriter,
 }
 
 impl Logging {
-    /// Starts the thread that writes.
+    /// Starts the logger and its writer thread.
     pub fn start(options: LogOptions) -> Self {
         let lost = Counter::default();
         let output = match options.format {
@@ -100,31 +100,32 @@
         Self { log, lost, writer }
     }
 
-    /// Writes what still waits, but for no longer than a moment: an output that
-    /// nobody reads must not keep the process from ending.
+    /// Writes the remaining lines, with a short timeout: an output that nobody reads must not
+    /// keep the process from exiting.
     pub fn finish(self) {
         self.writer.finish();
     }
 }
 
-/// A logger that formats each line where it is logged, stamped with the time.
+/// Builds a logger that formats each line on the logging thread and adds the time (`ts`) and the
+/// milliseconds since the start (`up_ms`).
 fn root<D>(drain: D, level: Level) -> Logger
 where
     D: Drain<Ok = (), Err = std::io::Error> + Send + 'static,
 {
     let started = Instant::now();
     let drain = Mutex::new(drain.fuse()).fuse();
-    let stamps = o!(
+    let time_fields = o!(
         "ts" => FnValue(|_| humantime::format_rfc3339_micros(SystemTime::now()).to_string()),
         "up_ms" => FnValue(move |_| started.elapsed().as_millis() as u64),
     );
-    Logger::root(drain.filter_level(level).fuse(), stamps)
+    Logger::root(drain.filter_level(level).fuse(), time_fields)
 }
 
-/// One JSON object a line.
-fn json_drain(lines: Lines) -> slog_json::Json<Lines> {
+/// Builds a drain that writes one JSON object per line.
+fn json_drain(lines: LineHandle) -> slog_json::Json<LineHandle> {
     slog_json::Json::new(lines)
-        // A flush ends a line.
+        // `LineHandle` takes a flush as the end of a line.
         .set_flush(true)
         .add_key_value(o!(
             "level" => FnValue(|record: &Record<'_>| record.level().as_short_str()),
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/merged_logs.rs
@@ -1,69 +1,70 @@
-//! Puts the log lines of many machines together into the story of one request,
-//! flow or machine.
+//! Merges the log lines of many machines and selects those about one request, flow or machine.
 //!
-//! Machines' clocks differ. An agent answers an opening packet after a balancer
-//! sent it, so that each pair of such lines bounds the difference of two clocks;
-//! the median over all pairs corrects the agent's times where it is large.
+//! The machines' clocks differ. An agent logs the answer to an opening packet after a balancer
+//! logged that it sent the packet, so each pair of such lines bounds the offset between the two
+//! clocks. The agent's times are corrected by the median over all its pairs if the median is
+//! large.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde_json::{Map, Value};
 
-/// Event of a balancer that sends an opening packet to an agent.
+/// Event logged by a balancer that sends an opening packet to an agent.
 const OPENING: &str = "opening";
-/// Event of an agent whose target answered.
+/// Event logged by an agent whose target answered.
 const ANSWERED: &str = "answered";
-/// Event of a request that begins on a flow.
+/// Event logged when a request begins on a flow.
 const REQUEST: &str = "request";
-/// Smallest difference that is taken for one of clocks.
-const SMALLEST_DIFFERENCE_MS: i64 = 30;
-/// Time before a request's first line from which its flow's lines are told.
-const BEFORE_MS: i64 = 2_000;
-/// Time after a request's last line up to which its flow's lines are told.
-const AFTER_MS: i64 = 5_000;
+/// Minimum median difference that is treated as a clock offset. Smaller differences are the delay
+/// between machines and the target's response time.
+const MIN_CLOCK_OFFSET_MS: i64 = 30;
+/// Lines of a request's flow are included from this time before the request's first line.
+const INCLUDED_BEFORE_MS: i64 = 2_000;
+/// Lines of a request's flow are included up to this time after the request's last line.
+const INCLUDED_AFTER_MS: i64 = 5_000;
 
-/// One line of a log.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogLine {
-    /// The machine that wrote it.
+    /// Name of the daemon that wrote the line.
     pub node: String,
-    /// Time of day in milliseconds, by the machine's own clock.
+    /// Milliseconds since the Unix epoch, by the machine's own clock.
     pub at_ms: i64,
-    /// What happened.
+    /// Value of the key `event`.
     pub event: String,
-    /// All fields.
+    /// All keys and values of the line.
     pub fields: Map<String, Value>,
 }
 
-/// What a story is about.
+/// Selects the log lines to show.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// The request with this identifier.
+    /// Lines about the request with this identifier, and about its flow around that time.
     Request(String),
-    /// The flow `client:port>address:port`.
+    /// Lines about the flow `client:port>address:port`.
     Flow(String),
-    /// All lines of one machine.
+    /// All lines of the daemon with this name.
     Node(String),
 }
 
-/// Lines of all machines.
+/// Log lines of any number of machines.
 #[derive(Clone, Debug, Default)]
 pub struct Story {
     lines: Vec<LogLine>,
     unreadable: usize,
 }
 
-/// One line of a story with its corrected time.
+/// A log line with its corrected time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoryLine {
-    /// Corrected time of day in milliseconds.
+    /// Milliseconds since the Unix epoch, corrected by the offset of the machine's clock.
     pub at_ms: i64,
-    /// The line.
+    /// The line as logged.
     pub line: LogLine,
 }
 
 impl Story {
-    /// Reads the lines of one log. Lines that cannot be read are counted.
+    /// Adds the lines of a log. Lines that cannot be parsed are only counted.
     pub fn read(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match LogLine::parse(line) {
@@ -73,12 +74,13 @@
         }
     }
 
-    /// Lines that could not be read.
+    /// Returns the number of lines that could not be parsed.
     pub fn unreadable(&self) -> usize {
         self.unreadable
     }
 
-    /// Milliseconds by which each machine's clock is ahead of the balancers'.
+    /// Returns the milliseconds by which an agent's clock is ahead of the balancers' clocks, by the
+    /// agent's name. Agents with a small offset are left out.
     pub fn clock_offsets(&self) -> BTreeMap<String, i64> {
         let mut sent: HashMap<(&str, &str), (&str, i64)> = HashMap::new();
         for line in self.lines.iter().filter(|line| line.event == OPENING) {
@@ -100,49 +102,50 @@
             values[values.len() / 2]
         };
         let medians = differences.into_iter().map(|(node, values)| (node, median(values)));
-        // Less than this is the journey between machines and a target's answer.
-        let differing = medians.filter(|(_, median)| median.abs() >= SMALLEST_DIFFERENCE_MS);
-        differing.map(|(node, median)| (node.to_owned(), median)).collect()
+        let large = medians.filter(|(_, median)| median.abs() >= MIN_CLOCK_OFFSET_MS);
+        large.map(|(node, median)| (node.to_owned(), median)).collect()
     }
 
-    /// The lines about a subject in the order of their corrected times.
+    /// Returns the lines about a subject, ordered by corrected time.
     pub fn tell(&self, subject: &Subject) -> Vec<StoryLine> {
         let offsets = self.clock_offsets();
         let corrected = |line: &LogLine| line.at_ms - offsets.get(&line.node).unwrap_or(&0);
-        let is_wanted: Box<dyn Fn(&LogLine) -> bool + '_> = match subject {
+        let matches: Box<dyn Fn(&LogLine) -> bool + '_> = match subject {
             Subject::Flow(flow) => Box::new(move |line| line.text("flow") == Some(flow)),
             Subject::Node(node) => Box::new(move |line| line.node == *node),
             Subject::Request(id) => {
-                let (flows, from, to) = self.span_of(id, &corrected);
+                let (flows, from, to) = self.flows_and_span(id, &corrected);
                 let corrected = &corrected;
                 Box::new(move |line: &LogLine| {
                     let on_flow = line.text("flow").is_some_and(|flow| flows.contains(flow));
-                    let other = line.event == REQUEST && line.text("request") != Some(id);
-                    on_flow && !other && (from..=to).contains(&corrected(line))
+                    let is_other_request =
+                        line.event == REQUEST && line.text("request") != Some(id);
+                    on_flow && !is_other_request && (from..=to).contains(&corrected(line))
                 })
             }
         };
-        let wanted = self.lines.iter().filter(|line| is_wanted(line));
-        let mut told: Vec<StoryLine> =
-            wanted.map(|line| StoryLine { at_ms: corrected(line), line: line.clone() }).collect();
-        told.sort_by_key(|told| told.at_ms);
-        told
+        let matching = self.lines.iter().filter(|line| matches(line));
+        let mut selected: Vec<StoryLine> =
+            matching.map(|line| StoryLine { at_ms: corrected(line), line: line.clone() }).collect();
+        selected.sort_by_key(|selected| selected.at_ms);
+        selected
     }
 
-    /// The flows of a request and the time around its lines.
-    fn span_of(
+    /// Returns the flows of a request, and the first and last time for which lines about these
+    /// flows are included.
+    fn flows_and_span(
         &self,
         id: &str,
         corrected: &impl Fn(&LogLine) -> i64,
     ) -> (BTreeSet<String>, i64, i64) {
-        let about = self.lines.iter().filter(|line| line.text("request") == Some(id));
-        let flows = about.clone().filter_map(|line| line.text("flow").map(str::to_owned));
-        let first = about.clone().map(corrected).min().unwrap_or(0);
-        let last = about.clone().map(corrected).max().unwrap_or(0);
-        (flows.collect(), first - BEFORE_MS, last + AFTER_MS)
+        let of_request = self.lines.iter().filter(|line| line.text("request") == Some(id));
+        let flows = of_request.clone().filter_map(|line| line.text("flow").map(str::to_owned));
+        let first = of_request.clone().map(corrected).min().unwrap_or(0);
+        let last = of_request.clone().map(corrected).max().unwrap_or(0);
+        (flows.collect(), first - INCLUDED_BEFORE_MS, last + INCLUDED_AFTER_MS)
     }
 
-    /// Each machine's address, from its start line or its name in others' lines.
+    /// Returns each daemon's address by its name, from the `start` lines.
     fn addresses(&self) -> HashMap<&str, &str> {
         let starts = self.lines.iter().filter(|line| line.event == "start");
         starts.filter_map(|line| Some((line.node.as_str(), line.text("address")?))).collect()
@@ -150,7 +153,7 @@
 }
 
 impl LogLine {
-    /// Reads a line; text before the JSON object is passed over.
+    /// Parses a line; text before the JSON object is ignored.
     pub(crate) fn parse(line: &str) -> Option<Self> {
         let object = &line[line.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(object) else { return None };
@@ -161,7 +164,7 @@
         Some(Self { node: text("node")?, event: text("event")?, at_ms, fields })
     }
 
-    /// A field's text.
+    /// Returns the value of a field if it is a string.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field).and_then(Value::as_str)
     }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -1,5 +1,5 @@
-//! A thin layer over `prometheus-client`: each part declares its own metrics
-//! beside the code that counts them.
+//! A thin layer over `prometheus-client`. Each component registers its own metrics next to the
+//! code that updates them.
 
 use std::sync::Arc;
 
@@ -13,94 +13,94 @@
 
 /// Upper bound of a latency histogram's first bucket, in seconds.
 const FIRST_BUCKET_SECONDS: f64 = 0.000_01;
-/// Factor between the bounds of neighbouring buckets.
+/// Ratio of the upper bounds of adjacent buckets.
 const BUCKET_FACTOR: f64 = 4.0;
-/// Number of buckets: up to about 10 seconds.
-const BUCKETS: u16 = 11;
+/// Number of buckets; the last upper bound is about 10 seconds.
+const BUCKET_COUNT: u16 = 11;
 
-/// Collects metrics while a daemon starts; frozen into an [`Arc`] when it runs.
+/// Registry of a daemon's metrics: filled while the daemon starts, then frozen into an [`Arc`].
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
 }
 
-/// Label set of a counter that is split by reason.
+/// Label set with the single label `reason`.
 type ReasonLabels = Vec<(&'static str, &'static str)>;
 
-/// A counter split by a fixed set of reasons.
+/// A family of counters with the label `reason`, which takes a fixed set of values.
 #[derive(Clone, Debug)]
 pub struct ReasonCounters {
     family: Family<ReasonLabels, Counter>,
 }
 
 impl ReasonCounters {
-    /// Counts one occurrence for a reason.
+    /// Adds 1 to the counter of `reason`.
     pub fn increment(&self, reason: &'static str) {
         self.family.get_or_create(&vec![("reason", reason)]).inc();
     }
 
-    /// Counts several occurrences for a reason.
+    /// Adds `count` to the counter of `reason`; 0 creates no counter.
     pub fn add(&self, reason: &'static str, count: u64) {
         if count > 0 {
             self.family.get_or_create(&vec![("reason", reason)]).inc_by(count);
         }
     }
 
-    /// The count for a reason.
+    /// Returns the count of `reason`.
     pub fn get(&self, reason: &'static str) -> u64 {
         self.family.get_or_create(&vec![("reason", reason)]).get()
     }
 }
 
 impl Metrics {
-    /// An empty collection; every name gets the prefix `weirhinge_`.
+    /// Creates an empty registry; every metric name gets the prefix `weirhinge_`.
     pub fn new() -> Self {
         Self { registry: Registry::with_prefix("weirhinge") }
     }
 
-    /// Declares a counter.
+    /// Registers a new counter.
     pub fn counter(&mut self, name: &str, help: &str) -> Counter {
         let counter = Counter::default();
         self.registry.register(name, help, counter.clone());
         counter
     }
 
-    /// Declares a counter that counts already.
+    /// Registers an existing counter.
     pub fn adopt_counter(&mut self, name: &str, help: &str, counter: Counter) {
         self.registry.register(name, help, counter);
     }
 
-    /// Declares a gauge.
+    /// Registers a new gauge.
     pub fn gauge(&mut self, name: &str, help: &str) -> Gauge {
         let gauge = Gauge::default();
         self.registry.register(name, help, gauge.clone());
         gauge
     }
 
-    /// Declares a latency histogram in seconds.
+    /// Registers a new latency histogram in seconds.
     pub fn histogram(&mut self, name: &str, help: &str) -> Histogram {
-        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS);
+        let buckets = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKET_COUNT);
         let histogram = Histogram::new(buckets);
         self.registry.register(name, help, histogram.clone());
         histogram
     }
 
-    /// Declares a counter that is split by reason.
+    /// Registers a new family of counters with the label `reason`.
     pub fn reasons(&mut self, name: &str, help: &str) -> ReasonCounters {
         let family = Family::<ReasonLabels, Counter>::default();
         self.registry.register(name, help, family.clone());
         ReasonCounters { family }
     }
 
-    /// Ends the declarations.
+    /// Ends the registration of metrics.
     pub fn freeze(self) -> Arc<Metrics> {
         Arc::new(self)
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Encodes all metrics in the OpenMetrics text format.
     ///
     /// # Errors
-    /// When a metric cannot be written as text.
+    /// Returns an error if a metric cannot be encoded as text.
     pub fn encode(&self) -> eyre::Result<String> {
         let mut text = String::new();
         prometheus_client::encoding::text::encode(&mut text, &self.registry)
--- a/crates/observe/src/route_load.rs
+++ b/crates/observe/src/route_load.rs
@@ -1,42 +1,42 @@
-//! Who was served, waited and was refused, by zone and route and among callers.
+//! Counts served, waiting and refused openings by zone and route, and by client.
 //!
-//! Tells too little room from an unfair share: in a shortage refusals spread over callers,
-//! and each of them is served in other moments.
+//! Distinguishes a lack of capacity from unfair shares: in a shortage, refusals are spread over
+//! the clients, and each client is served at other times.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::story::LogLine;
+use crate::merged_logs::LogLine;
 
-/// Most pairs of a route and a caller that are told apart.
-const MOST_CALLERS: usize = 100_000;
-/// Most waiting openings that are followed at a time.
-const MOST_QUEUED: usize = 200_000;
-/// The zone of daemons whose start is not in the logs.
+/// Maximum number of (route, client) pairs that are counted.
+const MAX_CLIENTS: usize = 100_000;
+/// Maximum number of queued openings that are tracked at the same time.
+const MAX_QUEUED: usize = 200_000;
+/// Zone shown for daemons whose `start` line is not in the logs.
 const UNKNOWN_ZONE: &str = "unknown";
 
-/// What became of openings.
+/// Number of openings by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OpeningCounts {
-    /// A target answered them.
+    /// Openings that a target answered.
     pub served: u64,
-    /// They waited for room.
+    /// Openings that waited for capacity.
     pub waited: u64,
-    /// They were refused for want of room, at once or after a wait.
+    /// Openings that were refused for lack of capacity, at once or after a wait.
     pub refused: u64,
-    /// Those of them that had waited at the balancer that refused them.
+    /// Refused openings that had waited at the balancer that refused them.
     pub refused_after_wait: u64,
 }
 
 impl OpeningCounts {
-    fn add(&mut self, fate: Fate) {
-        let count = match fate {
-            Fate::Served => &mut self.served,
-            Fate::Waited => &mut self.waited,
-            Fate::RefusedAtOnce => &mut self.refused,
-            Fate::RefusedAfterWait => {
+    fn add(&mut self, outcome: OpeningOutcome) {
+        let count = match outcome {
+            OpeningOutcome::Served => &mut self.served,
+            OpeningOutcome::Waited => &mut self.waited,
+            OpeningOutcome::RefusedAtOnce => &mut self.refused,
+            OpeningOutcome::RefusedAfterWait => {
                 self.refused_after_wait += 1;
                 &mut self.refused
             }
@@ -44,115 +44,125 @@
         *count += 1;
     }
 
-    fn ended(&self) -> u64 {
+    fn finished(&self) -> u64 {
         self.served + self.refused
     }
 }
 
-/// Openings of a route as the daemons of a zone saw them: agents write that their target
-/// answered, balancers that they refused, and both that openings wait with them.
+/// Openings of a route as logged by the daemons of a zone: agents log answers of their target,
+/// balancers log refusals, and both log openings that wait at them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ZoneLoad {
-    /// The zone of the daemons that wrote the lines.
+    /// Zone of the daemons that wrote the lines.
     pub zone: String,
-    /// The address and port that clients connect to.
+    /// Address and port that clients connect to.
     pub route: String,
-    /// Their number.
+    /// Number of openings by outcome.
     pub openings: OpeningCounts,
 }
 
-/// A caller's openings on a route.
+/// Openings of one client on a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerLoad {
-    /// Its address.
+    /// IP address of the client.
     pub caller: String,
-    /// Their number.
+    /// Number of openings by outcome.
     pub openings: OpeningCounts,
 }
 
-/// How the callers of a route fared.
+/// Summary of the clients of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteCallers {
-    /// The address and port that they connect to.
+    /// Address and port that the clients connect to.
     pub route: String,
-    /// Callers that were served or refused.
+    /// Number of clients that were served or refused.
     pub callers: usize,
-    /// Callers that were refused at least once.
+    /// Number of clients that were refused at least once.
     pub refused: usize,
-    /// Callers that were refused and never served.
+    /// Number of clients that were refused and never served.
     pub never_served: usize,
-    /// The caller with the most openings.
+    /// The client with the most served and refused openings.
     pub heaviest: CallerLoad,
-    /// The caller that was refused most often.
+    /// The client with the most refused openings.
     pub most_refused: CallerLoad,
 }
 
+/// What a log line reports about an opening.
 #[derive(Clone, Copy)]
-enum Fate {
+enum OpeningOutcome {
     Served,
     Waited,
     RefusedAtOnce,
     RefusedAfterWait,
 }
 
-/// Collects lines.
+/// Counts openings by zone and route, and by route and client, from log lines.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouteLoads {
+    /// Zone by daemon name.
     zones: HashMap<String, String>,
     /// By zone and route.
     loads: BTreeMap<(String, String), OpeningCounts>,
-    /// By route and caller.
-    callers: BTreeMap<(String, String), OpeningCounts>,
-    /// Flows whose opening waits at a balancer.
+    /// By route and client address.
+    clients: BTreeMap<(String, String), OpeningCounts>,
+    /// Flows whose opening is queued at a balancer.
     queued: HashSet<String>,
 }
 
 impl RouteLoads {
-    /// Learns from a daemon's start in which zone it is.
-    pub(crate) fn learn_zone(&mut self, line: &LogLine) {
+    /// Stores a daemon's zone from its `start` line.
+    pub(crate) fn note_zone(&mut self, line: &LogLine) {
         if let ("start", Some(zone)) = (line.event.as_str(), line.text("zone")) {
             self.zones.insert(line.node.clone(), zone.to_owned());
         }
     }
 
-    /// Returns whether there was room for the line's caller.
-    pub(crate) fn take(&mut self, line: &LogLine) -> bool {
-        let Some(fate) = self.fate_of(line) else { return true };
-        let Some((caller, route)) = line.text("flow").and_then(ends) else { return true };
+    /// Counts a line. Returns false if its client could not be counted because of
+    /// [`MAX_CLIENTS`].
+    pub(crate) fn record(&mut self, line: &LogLine) -> bool {
+        let Some(outcome) = self.outcome_of(line) else { return true };
+        let Some((client, route)) = line.text("flow").and_then(client_and_route) else {
+            return true;
+        };
         let zone = self.zones.get(&line.node).map_or(UNKNOWN_ZONE, String::as_str);
-        self.loads.entry((zone.to_owned(), route.to_owned())).or_default().add(fate);
-        let key = (route.to_owned(), caller.to_owned());
-        let has_room = self.callers.len() < MOST_CALLERS || self.callers.contains_key(&key);
-        if has_room {
-            self.callers.entry(key).or_default().add(fate);
+        self.loads.entry((zone.to_owned(), route.to_owned())).or_default().add(outcome);
+        let key = (route.to_owned(), client.to_owned());
+        let has_space = self.clients.len() < MAX_CLIENTS || self.clients.contains_key(&key);
+        if has_space {
+            self.clients.entry(key).or_default().add(outcome);
         }
-        has_room
+        has_space
     }
 
-    /// What a line says about an opening.
-    fn fate_of(&mut self, line: &LogLine) -> Option<Fate> {
+    /// Returns what a line reports about an opening, and keeps track of queued openings.
+    fn outcome_of(&mut self, line: &LogLine) -> Option<OpeningOutcome> {
         let flow = line.text("flow")?;
         let confirmed = line.fields.get("confirmed").and_then(Value::as_bool);
         match (line.event.as_str(), line.text("outcome"), confirmed) {
             ("answered", _, Some(false)) => {
                 self.queued.remove(flow);
-                Some(Fate::Served)
+                Some(OpeningOutcome::Served)
             }
             ("queued", ..) => {
-                if self.queued.len() < MOST_QUEUED {
+                if self.queued.len() < MAX_QUEUED {
                     self.queued.insert(flow.to_owned());
                 }
-                Some(Fate::Waited)
+                Some(OpeningOutcome::Waited)
             }
-            ("opening_waits", ..) => Some(Fate::Waited),
+            ("opening_waits", ..) => Some(OpeningOutcome::Waited),
             ("reset", Some("overloaded" | "refused"), _) => {
                 let waited = self.queued.remove(flow);
-                Some(if waited { Fate::RefusedAfterWait } else { Fate::RefusedAtOnce })
+                Some(if waited {
+                    OpeningOutcome::RefusedAfterWait
+                } else {
+                    OpeningOutcome::RefusedAtOnce
+                })
             }
             _ => None,
         }
     }
 
+    /// Returns the counts by zone and route.
     pub(crate) fn zones(&self) -> Vec<ZoneLoad> {
         let load = |((zone, route), openings): (&(String, String), &OpeningCounts)| ZoneLoad {
             zone: zone.clone(),
@@ -162,36 +172,38 @@
         self.loads.iter().map(load).collect()
     }
 
-    pub(crate) fn callers(&self) -> Vec<RouteCallers> {
-        let all: Vec<_> = self.callers.iter().filter(|(_, counts)| counts.ended() > 0).collect();
-        let by_route = all.chunk_by(|one, next| one.0.0 == next.0.0);
-        by_route.filter_map(callers_of_route).collect()
+    /// Returns the summary of each route's clients.
+    pub(crate) fn clients(&self) -> Vec<RouteCallers> {
+        let listed: Vec<_> =
+            self.clients.iter().filter(|(_, counts)| counts.finished() > 0).collect();
+        let by_route = listed.chunk_by(|left, right| left.0.0 == right.0.0);
+        by_route.filter_map(summarize_clients).collect()
     }
 }
 
-/// The caller's address and the route of `client:port>address:port`.
-fn ends(flow: &str) -> Option<(&str, &str)> {
-    let (client, route) = flow.split_once('>')?;
-    let (caller, _) = client.rsplit_once(':')?;
-    Some((caller, route))
+/// Splits a flow `client:port>address:port` into the client's address and the route.
+fn client_and_route(flow: &str) -> Option<(&str, &str)> {
+    let (client_endpoint, route) = flow.split_once('>')?;
+    let (client, _) = client_endpoint.rsplit_once(':')?;
+    Some((client, route))
 }
 
-/// Sums up the callers of one route; none if there are none.
-fn callers_of_route(callers: &[(&(String, String), &OpeningCounts)]) -> Option<RouteCallers> {
-    let load = |((_, caller), openings): &(&(String, String), &OpeningCounts)| CallerLoad {
-        caller: caller.clone(),
+/// Summarizes the clients of one route; `None` if `clients` is empty.
+fn summarize_clients(clients: &[(&(String, String), &OpeningCounts)]) -> Option<RouteCallers> {
+    let load = |((_, client), openings): &(&(String, String), &OpeningCounts)| CallerLoad {
+        caller: client.clone(),
         openings: **openings,
     };
-    let refused = || callers.iter().filter(|(_, openings)| openings.refused > 0);
-    let most = |number: fn(&OpeningCounts) -> u64| {
-        callers.iter().max_by_key(|(_, openings)| number(openings)).map(load)
+    let refused = || clients.iter().filter(|(_, openings)| openings.refused > 0);
+    let client_with_most = |number: fn(&OpeningCounts) -> u64| {
+        clients.iter().max_by_key(|(_, openings)| number(openings)).map(load)
     };
     Some(RouteCallers {
-        route: callers.first()?.0.0.clone(),
-        callers: callers.len(),
+        route: clients.first()?.0.0.clone(),
+        callers: clients.len(),
         refused: refused().count(),
         never_served: refused().filter(|(_, openings)| openings.served == 0).count(),
-        heaviest: most(OpeningCounts::ended)?,
-        most_refused: most(|openings| openings.refused)?,
+        heaviest: client_with_most(OpeningCounts::finished)?,
+        most_refused: client_with_most(|openings| openings.refused)?,
     })
 }
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -1,50 +1,52 @@
-//! What a fleet did over time: counts of its log lines in intervals, starts and what came
-//! after them, daemons that served nothing while others did, how long steps took, and who
-//! was served, waited and was refused.
+//! Summarizes the logs of a fleet over time: log lines counted per interval, waves of starts and
+//! the events after them, daemons that served nothing while others did, durations of steps, and
+//! served, waiting and refused openings.
 //!
-//! Lines are read one after the other and none is kept, so that the logs of a long day of
-//! a large fleet need little memory. What is kept is bounded: intervals, and flows whose
-//! step has not ended.
+//! Lines are processed one by one and not kept, so that a day of logs of a large fleet needs little
+//! memory. What is kept is bounded: intervals, and flows with an unfinished step.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::Serialize;
 use serde_json::Value;
 
+use crate::merged_logs::LogLine;
 use crate::route_load::{RouteCallers, RouteLoads, ZoneLoad};
-use crate::story::LogLine;
 
-/// Most intervals that are told; lines beyond them are counted as left out.
-const MOST_INTERVALS: i64 = 100_000;
-/// Most flows followed at a time for the length of their steps.
-const MOST_FLOWS: usize = 200_000;
-/// Most lengths kept of each step.
-const MOST_LENGTHS: usize = 1_000_000;
-/// A step that did not end for so long was another one's: ports are used again.
-const LONGEST_STEP_MS: i64 = 5_000;
-/// Starts with no other start for longer belong to different waves.
+/// Maximum distance of an interval from the first line, in intervals. Lines farther away are
+/// counted as left out.
+const MAX_INTERVALS: i64 = 100_000;
+/// Maximum number of flows with an unfinished step, for each kind of step.
+const MAX_FLOWS: usize = 200_000;
+/// Maximum number of durations kept for each kind of step.
+const MAX_DURATIONS: usize = 1_000_000;
+/// Maximum duration of a step. An end that is seen later belongs to another flow, because clients
+/// reuse ports.
+const MAX_STEP_MS: i64 = 5_000;
+/// Two consecutive starts that are further apart belong to different waves.
 const WAVE_GAP_MS: i64 = 700;
-/// Fewest daemons whose starts are told as a wave.
-const SMALLEST_WAVE: usize = 2;
-/// Time after a wave in which its consequences are looked for.
-const AFTER_WAVE_MS: i64 = 30_000;
-/// Daemons are compared by what they served in spans of this length.
-const SERVED_SPAN_MS: i64 = 1_000;
-/// Median of requests a span above which a daemon that served none stands out.
-const BUSY_MEDIAN: u32 = 5;
-/// Shortest time without a request that is told, in spans.
-const SHORTEST_IDLE_SPANS: i64 = 2;
+/// Minimum number of starts that are reported as a wave.
+const MIN_WAVE_STARTS: usize = 2;
+/// Time from the first start of a wave in which events are attributed to the wave.
+const WAVE_EFFECT_MS: i64 = 30_000;
+/// Length of the spans in which the daemons' numbers of requests are compared.
+const SPAN_MS: i64 = 1_000;
+/// Minimum median of requests per daemon for a span to count as busy. Daemons that served nothing
+/// are reported only in busy spans.
+const MIN_BUSY_MEDIAN: u32 = 5;
+/// Minimum number of consecutive spans without a request for a daemon to be reported as idle.
+const MIN_IDLE_SPANS: i64 = 2;
 
-/// What is told of.
+/// Selects the log lines that a timeline covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimelineOptions {
     /// Length of an interval in milliseconds, at least 1.
     pub every_ms: i64,
-    /// Daemons whose names begin so; all if empty.
+    /// Prefix of the names of the daemons to include; empty for all daemons.
     pub node: String,
-    /// Milliseconds from the first line at which intervals begin.
+    /// Beginning of the covered time, in milliseconds from the first line.
     pub from_ms: i64,
-    /// Milliseconds from the first line at which they end.
+    /// End of the covered time (exclusive), in milliseconds from the first line.
     pub to_ms: i64,
 }
 
@@ -54,177 +56,191 @@
     }
 }
 
-/// Daemons that started together and what came after; milliseconds from the first line.
+/// Daemons that started together, and the events after it. Times are in milliseconds from the first
+/// line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct StartWave {
     /// First and last start of balancers.
     pub balancers: Option<(i64, i64)>,
     /// First and last start of agents.
     pub agents: Option<(i64, i64)>,
-    /// Daemons that started.
+    /// Number of starts.
     pub daemons: usize,
-    /// The first configuration in force after it.
+    /// The first time that a daemon had a configuration in effect.
     pub first_configuration: Option<i64>,
-    /// The first flow that was reset since no target held it.
+    /// The first reset of a flow because no target held it.
     pub first_reset: Option<i64>,
-    /// The first answer of a target.
+    /// The first answer of any target.
     pub first_answer: Option<i64>,
-    /// The last opening that was refused.
+    /// The last refusal of an opening.
     pub last_refusal: Option<i64>,
 }
 
-/// A daemon that wrote lines but served nothing while others did.
+/// A daemon that wrote log lines but served nothing while others did.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct IdleDaemon {
-    /// Its name.
+    /// Name of the daemon.
     pub node: String,
-    /// Milliseconds from the first line.
+    /// Beginning of the idle time, in milliseconds from the first line.
     pub from_ms: i64,
-    /// Milliseconds from the first line.
+    /// End of the idle time, in milliseconds from the first line.
     pub to_ms: i64,
 }
 
-/// How long a step took, in milliseconds.
+/// Distribution of a step's durations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepLength {
-    /// What the step leads from and to.
+    /// Name of the step: its first and its last event.
     pub step: &'static str,
-    /// How many were seen.
+    /// Number of completed steps.
     pub count: usize,
-    /// Half of them took no longer.
+    /// Median of the durations, in milliseconds.
     pub p50_ms: i64,
-    /// 99 of 100 took no longer.
+    /// 99th percentile of the durations, in milliseconds.
     pub p99_ms: i64,
 }
 
-/// Counts in one interval, by event and outcome.
+/// Number of log lines in one interval.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Interval {
-    /// Milliseconds from the first line.
+    /// Beginning of the interval, in milliseconds from the first line.
     pub at_ms: i64,
-    /// Lines of each kind, those that were left out for their number included.
+    /// Number of lines by event, or `event:outcome`; includes lines that the daemons suppressed
+    /// because of their number.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// What a timeline tells.
+/// Result of a [`Timeline`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TimelineReport {
-    /// Intervals with at least one line, in order.
+    /// Intervals with at least one line, ordered by time.
     pub intervals: Vec<Interval>,
-    /// Starts of several daemons.
+    /// Starts of several daemons at about the same time.
     pub waves: Vec<StartWave>,
-    /// Daemons that served nothing while others did.
+    /// Times in which a daemon served nothing while others did.
     pub idle: Vec<IdleDaemon>,
-    /// How long steps took.
+    /// Durations of the steps that were seen.
     pub steps: Vec<StepLength>,
-    /// What became of openings, by zone and route.
+    /// Outcomes of openings by zone and route.
     pub zones: Vec<ZoneLoad>,
-    /// How callers fared, by route.
+    /// Summary of the clients of each route.
     pub callers: Vec<RouteCallers>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be parsed.
     pub unreadable: u64,
-    /// Lines of moments that are too many intervals away, or of too many flows at a time or
-    /// callers.
+    /// Number of lines that were left out because they are too many intervals away from the first
+    /// line, or because of too many flows with unfinished steps or too many clients.
     pub left_out: u64,
 }
 
-/// Collects lines.
+/// Summarizes log lines that are read one by one.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     options: TimelineOptions,
     first_at: Option<i64>,
     counts: BTreeMap<i64, BTreeMap<String, u64>>,
+    /// Time of each start, and whether a balancer started.
     starts: Vec<(i64, bool)>,
-    /// Times of the events that waves are judged by.
-    marks: BTreeMap<Mark, Vec<i64>>,
-    /// Requests of each balancer in each span, and the spans in which it wrote lines.
+    /// Times of the events that are reported for waves.
+    wave_events: BTreeMap<WaveEvent, Vec<i64>>,
+    /// Number of requests by daemon and span.
     served: BTreeMap<String, BTreeMap<i64, u32>>,
-    spoke: BTreeMap<String, BTreeSet<i64>>,
-    searches: Lengths,
-    openings: Lengths,
+    /// Spans in which each daemon wrote lines.
+    active_spans: BTreeMap<String, BTreeSet<i64>>,
+    searches: StepTimes,
+    openings: StepTimes,
     route_loads: RouteLoads,
     unreadable: u64,
     left_out: u64,
 }
 
+/// An event that is reported for waves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Mark {
+enum WaveEvent {
     Configuration,
     Reset,
     Answer,
     Refusal,
 }
 
-/// Steps that began and the lengths of those that ended.
+/// Start times of unfinished steps, and durations in milliseconds of finished ones.
 #[derive(Clone, Debug, Default)]
-struct Lengths {
-    begun: HashMap<String, i64>,
-    ended: Vec<i64>,
+struct StepTimes {
+    started_at: HashMap<String, i64>,
+    durations_ms: Vec<i64>,
 }
 
-impl Lengths {
-    /// Returns whether there is room for one more.
+impl StepTimes {
+    /// Starts a step, unless one is in progress for the flow. Returns false if [`MAX_FLOWS`] steps
+    /// are unfinished.
     fn begin(&mut self, flow: &str, at_ms: i64) -> bool {
-        let has_room = self.begun.len() < MOST_FLOWS;
-        let under_way = self.begun.get(flow).is_some_and(|begun| at_ms - begun < LONGEST_STEP_MS);
-        if has_room && !under_way {
-            self.begun.insert(flow.to_owned(), at_ms);
+        let has_space = self.started_at.len() < MAX_FLOWS;
+        let in_progress =
+            self.started_at.get(flow).is_some_and(|started_at| at_ms - started_at < MAX_STEP_MS);
+        if has_space && !in_progress {
+            self.started_at.insert(flow.to_owned(), at_ms);
         }
-        has_room
+        has_space
     }
 
+    /// Ends a flow's step, if one is in progress.
     fn end(&mut self, flow: &str, at_ms: i64) {
-        if let Some(begun) = self.begun.remove(flow)
-            && at_ms - begun < LONGEST_STEP_MS
-            && self.ended.len() < MOST_LENGTHS
+        if let Some(started_at) = self.started_at.remove(flow)
+            && at_ms - started_at < MAX_STEP_MS
+            && self.durations_ms.len() < MAX_DURATIONS
         {
-            self.ended.push((at_ms - begun).max(0));
+            self.durations_ms.push((at_ms - started_at).max(0));
         }
     }
 
+    /// Returns the distribution of the durations; `None` if no step has ended.
     fn report(&self, step: &'static str) -> Option<StepLength> {
-        let mut sorted = self.ended.clone();
+        let mut sorted = self.durations_ms.clone();
         sorted.sort_unstable();
-        let at = |percent: usize| sorted.get((sorted.len() * percent / 100).min(sorted.len() - 1));
-        let (p50_ms, p99_ms) = if sorted.is_empty() { return None } else { (at(50), at(99)) };
+        let percentile =
+            |percent: usize| sorted.get((sorted.len() * percent / 100).min(sorted.len() - 1));
+        let (p50_ms, p99_ms) =
+            if sorted.is_empty() { return None } else { (percentile(50), percentile(99)) };
         Some(StepLength { step, count: sorted.len(), p50_ms: *p50_ms?, p99_ms: *p99_ms? })
     }
 }
 
 impl Timeline {
-    /// Nothing read yet.
+    /// Creates a timeline without lines.
     pub fn new(options: TimelineOptions) -> Self {
         Self { options, ..Self::default() }
     }
 
-    /// Reads a line of a log. The times of all lines count from that of the first one.
+    /// Reads a log line. All times are relative to the first line that is read.
     pub fn read_line(&mut self, text: &str) {
         if text.trim().is_empty() {
             return;
         }
         match LogLine::parse(text) {
-            Some(line) => self.take(&line),
+            Some(line) => self.record(&line),
             None => self.unreadable += 1,
         }
     }
 
-    fn take(&mut self, line: &LogLine) {
+    /// Adds a line to all summaries if the options include it. Zones are stored from all lines,
+    /// because a daemon may have started before the covered time.
+    fn record(&mut self, line: &LogLine) {
         let at_ms = line.at_ms - *self.first_at.get_or_insert(line.at_ms);
-        self.route_loads.learn_zone(line);
+        self.route_loads.note_zone(line);
         let is_inside = (self.options.from_ms..self.options.to_ms).contains(&at_ms);
         if !is_inside || !line.node.starts_with(&self.options.node) {
             return;
         }
         self.count(line, at_ms);
-        self.note_marks(line, at_ms);
-        self.note_served(line, at_ms);
-        self.note_steps(line, at_ms);
-        self.left_out += u64::from(!self.route_loads.take(line));
+        self.record_start_or_wave_event(line, at_ms);
+        self.record_activity(line, at_ms);
+        self.record_step(line, at_ms);
+        self.left_out += u64::from(!self.route_loads.record(line));
     }
 
+    /// Counts a line in its interval.
     fn count(&mut self, line: &LogLine, at_ms: i64) {
         let interval = at_ms.div_euclid(self.options.every_ms);
-        if interval.abs() > MOST_INTERVALS {
+        if interval.abs() > MAX_INTERVALS {
             self.left_out += 1;
             return;
         }
@@ -236,38 +252,43 @@
         *self.counts.entry(interval).or_default().entry(key).or_default() += count;
     }
 
-    fn note_marks(&mut self, line: &LogLine, at_ms: i64) {
-        let mark = match (line.event.as_str(), line.text("outcome")) {
+    /// Stores starts, and the times of events that are reported for waves.
+    fn record_start_or_wave_event(&mut self, line: &LogLine, at_ms: i64) {
+        let wave_event = match (line.event.as_str(), line.text("outcome")) {
             ("start", _) => {
                 let is_balancer = line.text("service").is_none();
                 return self.starts.push((at_ms, is_balancer));
             }
-            ("configuration", _) => Mark::Configuration,
-            ("answered", _) => Mark::Answer,
-            ("reset", Some("nobody_holds")) => Mark::Reset,
-            ("reset", Some("overloaded" | "refused" | "no_target" | "evacuated")) => Mark::Refusal,
+            ("configuration", _) => WaveEvent::Configuration,
+            ("answered", _) => WaveEvent::Answer,
+            ("reset", Some("nobody_holds")) => WaveEvent::Reset,
+            ("reset", Some("overloaded" | "refused" | "no_target" | "evacuated")) => {
+                WaveEvent::Refusal
+            }
             _ => return,
         };
-        self.marks.entry(mark).or_default().push(at_ms);
+        self.wave_events.entry(wave_event).or_default().push(at_ms);
     }
 
-    fn note_served(&mut self, line: &LogLine, at_ms: i64) {
-        let span = at_ms.div_euclid(SERVED_SPAN_MS);
+    /// Stores in which spans a daemon wrote lines and how many requests it served.
+    fn record_activity(&mut self, line: &LogLine, at_ms: i64) {
+        let span = at_ms.div_euclid(SPAN_MS);
         if line.event == "request" {
             let served = self.served.entry(line.node.clone()).or_default();
             *served.entry(span).or_default() += 1;
         }
-        self.spoke.entry(line.node.clone()).or_default().insert(span);
+        self.active_spans.entry(line.node.clone()).or_default().insert(span);
     }
 
-    fn note_steps(&mut self, line: &LogLine, at_ms: i64) {
+    /// Starts or ends the step that a line belongs to.
+    fn record_step(&mut self, line: &LogLine, at_ms: i64) {
         let Some(flow) = line.text("flow") else { return };
-        let searched = || format!("{} {flow}", line.node);
+        let search_key = || format!("{} {flow}", line.node);
         let confirmed = line.fields.get("confirmed").and_then(Value::as_bool);
-        let has_room = match (line.event.as_str(), line.text("outcome"), confirmed) {
-            ("search", ..) => self.searches.begin(&searched(), at_ms),
+        let has_space = match (line.event.as_str(), line.text("outcome"), confirmed) {
+            ("search", ..) => self.searches.begin(&search_key(), at_ms),
             ("reset", Some("nobody_holds"), _) => {
-                self.searches.end(&searched(), at_ms);
+                self.searches.end(&search_key(), at_ms);
                 true
             }
             ("opening", ..) => self.openings.begin(flow, at_ms),
@@ -277,10 +298,10 @@
             }
             _ => true,
         };
-        self.left_out += u64::from(!has_room);
+        self.left_out += u64::from(!has_space);
     }
 
-    /// What the lines read so far tell.
+    /// Returns the summary of all lines read so far.
     pub fn report(&self) -> TimelineReport {
         let intervals = self.counts.iter().map(|(interval, counts)| Interval {
             at_ms: interval * self.options.every_ms,
@@ -296,19 +317,21 @@
             idle: self.idle(),
             steps: steps.into_iter().flatten().collect(),
             zones: self.route_loads.zones(),
-            callers: self.route_loads.callers(),
+            callers: self.route_loads.clients(),
             unreadable: self.unreadable,
             left_out: self.left_out,
         }
     }
 
+    /// Groups the starts into waves.
     fn waves(&self) -> Vec<StartWave> {
         let mut starts = self.starts.clone();
         starts.sort_unstable();
-        let waves = starts.chunk_by(|one, next| next.0 - one.0 <= WAVE_GAP_MS);
-        waves.filter(|wave| wave.len() >= SMALLEST_WAVE).map(|wave| self.wave(wave)).collect()
+        let waves = starts.chunk_by(|previous, next| next.0 - previous.0 <= WAVE_GAP_MS);
+        waves.filter(|wave| wave.len() >= MIN_WAVE_STARTS).map(|wave| self.wave(wave)).collect()
     }
 
+    /// Builds the report of one wave from its starts.
     fn wave(&self, starts: &[(i64, bool)]) -> StartWave {
         let span = |balancers: bool| {
             let mut of_role =
@@ -316,43 +339,44 @@
             let first = of_role.next()?;
             Some((first, of_role.next_back().unwrap_or(first)))
         };
-        let began = starts.first().map_or(0, |start| start.0);
-        let after = |mark: Mark| {
-            let times = self.marks.get(&mark).into_iter().flatten().copied();
-            times.filter(move |at| (began..began + AFTER_WAVE_MS).contains(at))
+        let first_start = starts.first().map_or(0, |start| start.0);
+        let after = |wave_event: WaveEvent| {
+            let times = self.wave_events.get(&wave_event).into_iter().flatten().copied();
+            times.filter(move |at| (first_start..first_start + WAVE_EFFECT_MS).contains(at))
         };
         StartWave {
             balancers: span(true),
             agents: span(false),
             daemons: starts.len(),
-            first_configuration: after(Mark::Configuration).min(),
-            first_reset: after(Mark::Reset).min(),
-            first_answer: after(Mark::Answer).min(),
-            last_refusal: after(Mark::Refusal).max(),
+            first_configuration: after(WaveEvent::Configuration).min(),
+            first_reset: after(WaveEvent::Reset).min(),
+            first_answer: after(WaveEvent::Answer).min(),
+            last_refusal: after(WaveEvent::Refusal).max(),
         }
     }
 
-    /// Daemons that wrote lines in a stretch of spans and served nothing in it, while at
-    /// least half of those that ever served something were busy.
+    /// Returns daemons that wrote lines but served nothing in consecutive busy spans. A span is
+    /// busy if at least half of the started daemons that ever served a request served
+    /// [`MIN_BUSY_MEDIAN`] requests or more in it.
     fn idle(&self) -> Vec<IdleDaemon> {
         let all: BTreeSet<i64> = self.served.values().flat_map(BTreeMap::keys).copied().collect();
         let busy: Vec<i64> =
-            all.into_iter().filter(|span| self.median(*span) >= BUSY_MEDIAN).collect();
+            all.into_iter().filter(|span| self.median_requests(*span) >= MIN_BUSY_MEDIAN).collect();
         let mut idle = Vec::new();
         for (node, served) in &self.served {
-            let Some(spoke) = self.spoke.get(node) else { continue };
-            // Before its first line a daemon may not have run.
-            let first_line = spoke.first().copied().unwrap_or(i64::MAX);
-            let is_unserved = |span: &i64| *span >= first_line && !served.contains_key(span);
+            let Some(active_spans) = self.active_spans.get(node) else { continue };
+            // A daemon may not have been running before its first line.
+            let first_line_span = active_spans.first().copied().unwrap_or(i64::MAX);
+            let is_unserved = |span: &i64| *span >= first_line_span && !served.contains_key(span);
             let unserved: Vec<i64> = busy.iter().copied().filter(is_unserved).collect();
-            for stretch in unserved.chunk_by(|one, next| next - one == 1) {
-                let (first, last) = (stretch[0], stretch[stretch.len() - 1]);
-                let lives = spoke.range(first..=last).next().is_some();
-                if lives && last - first + 1 >= SHORTEST_IDLE_SPANS {
+            for run in unserved.chunk_by(|previous, next| next - previous == 1) {
+                let (first, last) = (run[0], run[run.len() - 1]);
+                let is_running = active_spans.range(first..=last).next().is_some();
+                if is_running && last - first + 1 >= MIN_IDLE_SPANS {
                     idle.push(IdleDaemon {
                         node: node.clone(),
-                        from_ms: first * SERVED_SPAN_MS,
-                        to_ms: (last + 1) * SERVED_SPAN_MS,
+                        from_ms: first * SPAN_MS,
+                        to_ms: (last + 1) * SPAN_MS,
                     });
                 }
             }
@@ -360,19 +384,22 @@
         idle
     }
 
-    /// The median of what the daemons that ran by then served in a span.
-    fn median(&self, span: i64) -> u32 {
-        let ran =
-            |node: &str| self.spoke.get(node).is_some_and(|spoke| spoke.first() <= Some(&span));
-        let served = self.served.iter().filter(|(node, _)| ran(node));
+    /// Returns the median number of requests in a span over the daemons that had started by then.
+    fn median_requests(&self, span: i64) -> u32 {
+        let had_started = |node: &str| {
+            self.active_spans
+                .get(node)
+                .is_some_and(|active_spans| active_spans.first() <= Some(&span))
+        };
+        let running = self.served.iter().filter(|(node, _)| had_started(node));
         let mut served: Vec<u32> =
-            served.map(|(_, spans)| spans.get(&span).copied().unwrap_or(0)).collect();
+            running.map(|(_, spans)| spans.get(&span).copied().unwrap_or(0)).collect();
         served.sort_unstable();
         served.get(served.len() / 2).copied().unwrap_or(0)
     }
 }
 
-/// A line's event, with its outcome if it has one.
+/// Returns the key that a line is counted by: its event, with its outcome if it has one.
 fn key_of(line: &LogLine) -> String {
     match line.text("outcome") {
         Some(outcome) => format!("{}:{outcome}", line.event),
--- a/crates/observe/tests/line_writer.rs
+++ b/crates/observe/tests/line_writer.rs
@@ -1,17 +1,17 @@
-//! Lines come out whole, in order and in few writes; what finds no room is counted.
+//! Lines are written complete and in order; lines that cannot be buffered or written are counted.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex, mpsc};
 
 use weirhinge_observe::{Counter, LineWriter};
 
-/// Remembers each write.
+/// Output that records each write.
 #[derive(Clone, Default)]
-struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
+struct RecordedWrites(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Write for Writes {
+impl Write for RecordedWrites {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        self.0.lock().expect("no panic").push(bytes.to_vec());
+        self.0.lock().expect("lock is not poisoned").push(bytes.to_vec());
         Ok(bytes.len())
     }
 
@@ -20,12 +20,12 @@
     }
 }
 
-/// An output that takes nothing until it is told to.
-struct Stuck(mpsc::Receiver<()>);
+/// Output that blocks until the sender of its channel is dropped.
+struct BlockedOutput(mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // The sender is gone when the test ends.
+        // The sender is dropped when the test ends.
         let _ = self.0.recv();
         Ok(bytes.len())
     }
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn lines_are_written_together_and_in_order() {
-    let writes = Writes::default();
+fn lines_are_written_complete_and_in_order() {
+    let writes = RecordedWrites::default();
     let writer = LineWriter::start(writes.clone(), Counter::default());
     let mut lines = writer.lines();
     let mut expected = String::new();
@@ -48,15 +48,15 @@
         expected += &format!("line {number} ends\n");
     }
     writer.finish();
-    let written = writes.0.lock().expect("no panic").concat();
+    let written = writes.0.lock().expect("lock is not poisoned").concat();
     assert_eq!(String::from_utf8(written).expect("text"), expected);
 }
 
 #[test]
-fn an_output_that_takes_nothing_blocks_nobody_and_losses_are_counted() {
-    let (release, stuck) = mpsc::channel();
+fn blocked_output_does_not_block_logging() {
+    let (release, blocked) = mpsc::channel();
     let lost = Counter::default();
-    let writer = LineWriter::start(Stuck(stuck), lost.clone());
+    let writer = LineWriter::start(BlockedOutput(blocked), lost.clone());
     let mut lines = writer.lines();
     for _ in 0..20_000 {
         writeln!(lines, "{:100}", "").expect("written");
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn lines_that_cannot_be_written_are_counted() {
-    struct Broken;
-    impl Write for Broken {
+fn failed_writes_are_counted() {
+    struct FailingOutput;
+    impl Write for FailingOutput {
         fn write(&mut self, _: &[u8]) -> io::Result<usize> {
             Err(io::ErrorKind::BrokenPipe.into())
         }
@@ -80,7 +80,7 @@
         }
     }
     let lost = Counter::default();
-    let writer = LineWriter::start(Broken, lost.clone());
+    let writer = LineWriter::start(FailingOutput, lost.clone());
     let mut lines = writer.lines();
     for _ in 0..3 {
         writeln!(lines, "line").expect("written");
--- a/crates/observe/tests/story.rs
+++ b/crates/observe/tests/merged_logs.rs
@@ -1,4 +1,4 @@
-//! Stories of requests from the logs of machines whose clocks differ.
+//! Log lines of machines with different clocks, merged and selected by request, flow or daemon.
 
 use weirhinge_observe::{Story, Subject};
 
@@ -15,8 +15,8 @@
     format!(",\"flow\":\"{flow}\"")
 }
 
-/// A balancer, and an agent whose clock is twenty seconds ahead.
-fn logs() -> Story {
+/// Logs of a balancer, and of an agent whose clock is 20 seconds ahead.
+fn merged_logs() -> Story {
     let flow = flow_field(FLOW);
     let agent = ",\"agent\":\"10.0.0.9\"";
     let balancer = [
@@ -39,20 +39,20 @@
 }
 
 fn events(story: &Story, subject: &Subject) -> Vec<String> {
-    story.tell(subject).into_iter().map(|told| told.line.event).collect()
+    story.tell(subject).into_iter().map(|selected| selected.line.event).collect()
 }
 
 #[test]
-fn a_request_is_told_across_machines_in_the_right_order() {
-    let story = logs();
+fn request_lines_are_ordered_by_corrected_time() {
+    let story = merged_logs();
     assert_eq!(story.clock_offsets().get("a"), Some(&20_000));
-    let told = events(&story, &Subject::Request("r-1".to_owned()));
-    assert_eq!(told, ["opening", "answered", "request", "returned", "reset"]);
+    let selected = events(&story, &Subject::Request("r-1".to_owned()));
+    assert_eq!(selected, ["opening", "answered", "request", "returned", "reset"]);
 }
 
 #[test]
-fn a_flow_and_a_machine_are_told_whole() {
-    let story = logs();
+fn flow_and_daemon_select_all_their_lines() {
+    let story = merged_logs();
     let flow = events(&story, &Subject::Flow(FLOW.to_owned()));
     assert_eq!(flow.len(), 7);
     assert_eq!(events(&story, &Subject::Node("a".to_owned())).len(), 3);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn text_before_a_line_is_passed_over_and_noise_is_counted() {
+fn leading_text_is_ignored_and_unreadable_lines_are_counted() {
     let mut story = Story::default();
     story.read(&format!("  12.5 machine-1 {}\n", line("b", 1, "start", "")));
     story.read("no line at all\n{\"ts\":\"later\"}\n{broken\n\n");
@@ -68,10 +68,10 @@
     assert_eq!(events(&story, &Subject::Node("b".to_owned())), ["start"]);
 }
 
-/// An agent's answers come later than the openings for no fault of its clock;
-/// taking that for a difference put its lines before their causes.
+/// Answers are logged later than openings even if clocks agree, because of the network delay and
+/// the target's response time. Treating this as a clock offset moved answers before their openings.
 #[test]
-fn a_journey_is_not_taken_for_a_difference_of_clocks() {
+fn small_delay_is_not_treated_as_clock_offset() {
     let flow = flow_field(FLOW);
     let mut story = Story::default();
     story.read(&line("b", 1, "opening", &format!("{flow},\"agent\":\"10.0.0.9\"")));
--- a/crates/observe/tests/route_load.rs
+++ b/crates/observe/tests/route_load.rs
@@ -1,4 +1,4 @@
-//! What a timeline tells of a crowd: who was served, waited and was refused.
+//! Timeline of an overload: served, waiting and refused openings by zone, route and client.
 
 use weirhinge_observe::{OpeningCounts, Timeline, TimelineOptions, TimelineReport};
 
@@ -31,8 +31,8 @@
     OpeningCounts { served, waited, refused, refused_after_wait: 0 }
 }
 
-/// Balancers in two zones, an agent in the first; a route with two callers of which one is
-/// refused at first, and another route where a caller is only refused.
+/// Balancers in two zones and an agent in the first; a route with two clients, one of which is
+/// refused at first, and another route with a client that is only refused.
 fn log() -> String {
     let mut log = line("b-1", 0, "start", ",\"zone\":\"east\"");
     log += &line("b-2", 0, "start", ",\"zone\":\"west\"");
@@ -45,9 +45,9 @@
     log += &refused("b-2", 2, "10.0.0.2:1>198.18.0.1:443");
     log += &served("a-1", 5, "10.0.0.2:2>198.18.0.1:443");
     log += &refused("b-2", 5, "10.0.0.3:1>198.18.0.1:8443");
-    let refused_by_all = ",\"flow\":\"10.0.0.3:2>198.18.0.1:8443\",\"outcome\":\"refused\"";
-    log += &line("b-9", 5, "reset", refused_by_all);
-    // Neither says that an opening was served or found no room.
+    let refused_fields = ",\"flow\":\"10.0.0.3:2>198.18.0.1:8443\",\"outcome\":\"refused\"";
+    log += &line("b-9", 5, "reset", refused_fields);
+    // None of these lines reports an opening that was served or refused for lack of capacity.
     log +=
         &line("a-1", 5, "answered", ",\"flow\":\"10.0.0.2:2>198.18.0.1:443\",\"confirmed\":true");
     log += &line(
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn openings_are_told_by_zone_and_route() {
+fn openings_are_counted_by_zone_and_route() {
     let report = report(&log(), TimelineOptions::default());
-    let told: Vec<_> = report
+    let reported: Vec<_> = report
         .zones
         .iter()
         .map(|load| (load.zone.as_str(), load.route.as_str(), load.openings))
@@ -73,11 +73,11 @@
         ("west", "198.18.0.1:443", counts(0, 0, 1)),
         ("west", "198.18.0.1:8443", counts(0, 0, 1)),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
 
 #[test]
-fn callers_are_told_by_route() {
+fn clients_are_summarized_by_route() {
     let report = report(&log(), TimelineOptions::default());
     let [first, second] = &report.callers[..] else { panic!("{:?}", report.callers) };
     assert_eq!((first.callers, first.refused, first.never_served), (2, 1, 0));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_heavy_caller_stands_out() {
+fn client_with_most_openings_is_reported() {
     let mut log = String::new();
     for number in 0..40 {
         log += &served("a-1", 1, &format!("10.0.0.{number}:1>198.18.0.1:443"));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn zones_are_known_also_where_the_span_begins_after_the_start() {
+fn zone_is_known_if_daemon_started_before_the_covered_time() {
     let options = TimelineOptions { from_ms: 3_000, ..TimelineOptions::default() };
     let report = report(&log(), options);
     let zones: Vec<_> = report.zones.iter().map(|load| load.zone.as_str()).collect();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn callers_beyond_the_bound_are_counted_as_left_out() {
+fn clients_beyond_the_limit_are_left_out() {
     let mut timeline = Timeline::new(TimelineOptions::default());
     for number in 0..100_010_u32 {
         let caller = std::net::Ipv4Addr::from_bits(number);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn refusals_after_a_wait_are_told_apart() {
+fn refusals_after_a_wait_are_counted_separately() {
     let queued = |flow: &str| line("b-1", 1, "queued", &format!(",\"flow\":\"{flow}\""));
     let [first, second, third] = [1, 2, 3].map(|port| format!("10.0.0.1:{port}>198.18.0.1:443"));
     let log = queued(&first)
--- a/crates/observe/tests/timeline.rs
+++ b/crates/observe/tests/timeline.rs
@@ -1,10 +1,10 @@
-//! What a timeline tells from the lines of a small fleet.
+//! Timeline of the logs of a small fleet.
 
 use std::fmt::Write;
 
 use weirhinge_observe::{Timeline, TimelineOptions};
 
-/// A line of a machine at a moment in milliseconds.
+/// Returns a log line of a daemon at `at_ms`.
 fn line(node: &str, at_ms: u32, event: &str, fields: &str) -> String {
     let (second, milli) = (at_ms / 1_000, at_ms % 1_000);
     format!(
@@ -13,8 +13,8 @@
     )
 }
 
-/// Two balancers and an agent that start, lose power at 4 s and start again; afterwards
-/// balancer b-2 serves nothing until 9 s.
+/// Two balancers and an agent that start, lose power at 4 s and restart at 4.5 s; then balancer b-2
+/// serves nothing until 9 s.
 fn log() -> String {
     let mut log = String::new();
     for (node, service) in [("b-1", ""), ("b-2", ""), ("a-1", ",\"service\":\"sheets\"")] {
@@ -30,7 +30,7 @@
     log += &line("a-1", 4_702, "answered", &format!("{flow},\"confirmed\":false"));
     log += &line("b-1", 4_900, "reset", ",\"flow\":\"c:2>s:443\",\"outcome\":\"refused\"");
     log += &line("b-1", 5_000, "lines_suppressed", ",\"kind\":\"search\",\"count\":61");
-    // A balancer that is added while the others are at work.
+    // A balancer that is added while the others serve requests.
     log += &line("b-3", 9_000, "start", "");
     log += &line("b-3", 9_100, "request", "");
     for request in 0..60 {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn intervals_hold_the_lines_of_each_kind_and_those_left_out() {
+fn intervals_count_lines_by_kind_and_suppressed_lines() {
     let report = report(TimelineOptions { every_ms: 2_000, to_ms: 6_000, ..Default::default() });
     let mut text = String::new();
     for interval in &report.intervals {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn starts_are_told_with_what_came_after() {
+fn wave_reports_starts_and_following_events() {
     let waves = report(TimelineOptions::default()).waves;
     insta::assert_debug_snapshot!(waves[1], @"
     StartWave {
@@ -94,26 +94,26 @@
         ),
     }
     ");
-    assert_eq!(waves.len(), 2, "one daemon alone is no wave");
+    assert_eq!(waves.len(), 2, "a single start is not a wave");
 }
 
 #[test]
-fn a_daemon_that_serves_nothing_while_others_do_is_named() {
+fn daemon_without_requests_in_busy_spans_is_idle() {
     let idle = report(TimelineOptions::default()).idle;
-    let told: Vec<_> =
+    let reported: Vec<_> =
         idle.iter().map(|idle| (idle.node.as_str(), idle.from_ms, idle.to_ms)).collect();
-    assert_eq!(told, [("b-2", 5_000, 9_000)]);
+    assert_eq!(reported, [("b-2", 5_000, 9_000)]);
 }
 
 #[test]
-fn steps_are_measured() {
+fn step_durations_are_reported() {
     let steps = report(TimelineOptions::default()).steps;
-    let told: Vec<_> = steps.iter().map(|step| (step.step, step.count, step.p50_ms)).collect();
-    assert_eq!(told, [("opening sent to target's answer", 1, 2), ("search to reset", 1, 55)]);
+    let reported: Vec<_> = steps.iter().map(|step| (step.step, step.count, step.p50_ms)).collect();
+    assert_eq!(reported, [("opening sent to target's answer", 1, 2), ("search to reset", 1, 55)]);
 }
 
 #[test]
-fn daemons_are_chosen_by_the_beginning_of_their_names() {
+fn node_option_selects_daemons_by_name_prefix() {
     let options = TimelineOptions { node: "a-".to_owned(), ..Default::default() };
     let lines: u64 = report(options).intervals.iter().flat_map(|at| at.counts.values()).sum();
     assert_eq!(lines, 3);
