--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -41,20 +41,23 @@
     pub(crate) fn declare(metrics: &mut Metrics) -> Self {
         Self {
             messages_in: metrics.counter("messages_in", "Messages received"),
-            packets_dropped: metrics.reasons("packets_dropped", "Packets dropped"),
-            packets_passed_on: metrics.reasons("packets_passed_on", "Packets sent to agents"),
+            packets_dropped: metrics.reason_counters("packets_dropped", "Packets dropped"),
+            packets_passed_on: metrics
+                .reason_counters("packets_passed_on", "Packets sent to agents"),
             packets_unsent: metrics.counter("packets_unsent", "Packets the kernel did not take"),
             control_bytes: metrics.counter("control_bytes", "Control bytes sent to agents"),
             standby_acted: metrics.counter("standby_acted", "Packets handled for a silent owner"),
             offers_unclaimed: metrics.counter("offers_unclaimed", "Offers that nobody claimed"),
             flows_open: metrics.gauge("flows_open", "Flows held"),
             flows_opened: metrics.counter("flows_opened", "Flows whose handshake completed"),
-            flows_refused: metrics.reasons("flows_refused", "Flows refused before they ran"),
-            flows_ended: metrics.reasons("flows_ended", "Flows ended"),
+            flows_refused: metrics
+                .reason_counters("flows_refused", "Flows refused before they ran"),
+            flows_ended: metrics.reason_counters("flows_ended", "Flows ended"),
             flows_broken: metrics.counter("flows_broken", "Flows cut by this process"),
             in_flight: metrics.gauge("in_flight", "Flows that wait for an answer"),
             revision: metrics.gauge("revision", "Configuration revision in force"),
-            platform_errors: metrics.reasons("platform_errors", "Platform polls without use"),
+            platform_errors: metrics
+                .reason_counters("platform_errors", "Platform polls without use"),
         }
     }
 }
--- a/crates/balancer/src/metrics.rs
+++ b/crates/balancer/src/metrics.rs
@@ -26,9 +26,10 @@
             packets_in: metrics.counter("packets_in", "Packets received"),
             packets_forwarded: metrics.counter("packets_forwarded", "Packets sent to agents"),
             packets_hinted: metrics.counter("packets_hinted", "Packets routed by holder hint"),
-            packets_dropped: metrics.reasons("packets_dropped", "Packets dropped"),
+            packets_dropped: metrics.reason_counters("packets_dropped", "Packets dropped"),
             revision: metrics.gauge("revision", "Configuration revision in force"),
-            platform_errors: metrics.reasons("platform_errors", "Platform polls without use"),
+            platform_errors: metrics
+                .reason_counters("platform_errors", "Platform polls without use"),
         }
     }
 }
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -12,9 +12,9 @@
 pub use admin::{AdminServer, BoundAddresses, Health, HealthSource, start_admin};
 pub use line_writer::{LineHandle, LineWriter};
 pub use logging::{LogFormat, LogOptions, LogOutput, Logging};
-pub use merged_logs::{LogLine, Story, StoryLine, Subject};
+pub use merged_logs::{LogLine, MergedLine, MergedLogs, Subject};
 pub use metrics::{Counter, Gauge, Histogram, Metrics, ReasonCounters};
-pub use route_load::{CallerLoad, OpeningCounts, RouteCallers, ZoneLoad};
+pub use route_load::{ClientLoad, OpeningCounts, RouteClients, ZoneLoad};
 pub use timeline::{
-    IdleDaemon, Interval, StartWave, StepLength, Timeline, TimelineOptions, TimelineReport,
+    IdleDaemon, Interval, StartWave, StepDurations, Timeline, TimelineOptions, TimelineReport,
 };
--- a/crates/observe/src/line_writer.rs
+++ b/crates/observe/src/line_writer.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns a new handle to write lines to.
-    pub fn lines(&self) -> LineHandle {
+    pub fn handle(&self) -> LineHandle {
         LineHandle { shared: Arc::clone(&self.shared), lost: self.lost.clone(), line: Vec::new() }
     }
 
--- a/crates/observe/src/logging.rs
+++ b/crates/observe/src/logging.rs
@@ -89,7 +89,7 @@
             LogFormat::Json => options.output,
         };
         let writer = LineWriter::start(output.writer(), lost.clone());
-        let lines = writer.lines();
+        let lines = writer.handle();
         let log = match options.format {
             LogFormat::Terminal => {
                 let decorator = slog_term::PlainDecorator::new(lines);
--- a/crates/observe/src/merged_logs.rs
+++ b/crates/observe/src/merged_logs.rs
@@ -49,21 +49,21 @@
 
 /// Log lines of any number of machines.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
+pub struct MergedLogs {
     lines: Vec<LogLine>,
     unreadable: usize,
 }
 
 /// A log line with its corrected time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StoryLine {
+pub struct MergedLine {
     /// Milliseconds since the Unix epoch, corrected by the offset of the machine's clock.
     pub at_ms: i64,
     /// The line as logged.
     pub line: LogLine,
 }
 
-impl Story {
+impl MergedLogs {
     /// Adds the lines of a log. Lines that cannot be parsed are only counted.
     pub fn read(&mut self, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
@@ -107,7 +107,7 @@
     }
 
     /// Returns the lines about a subject, ordered by corrected time.
-    pub fn tell(&self, subject: &Subject) -> Vec<StoryLine> {
+    pub fn lines_about(&self, subject: &Subject) -> Vec<MergedLine> {
         let offsets = self.clock_offsets();
         let corrected = |line: &LogLine| line.at_ms - offsets.get(&line.node).unwrap_or(&0);
         let matches: Box<dyn Fn(&LogLine) -> bool + '_> = match subject {
@@ -125,8 +125,9 @@
             }
         };
         let matching = self.lines.iter().filter(|line| matches(line));
-        let mut selected: Vec<StoryLine> =
-            matching.map(|line| StoryLine { at_ms: corrected(line), line: line.clone() }).collect();
+        let mut selected: Vec<MergedLine> = matching
+            .map(|line| MergedLine { at_ms: corrected(line), line: line.clone() })
+            .collect();
         selected.sort_by_key(|selected| selected.at_ms);
         selected
     }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -66,7 +66,7 @@
     }
 
     /// Registers an existing counter.
-    pub fn adopt_counter(&mut self, name: &str, help: &str, counter: Counter) {
+    pub fn register_counter(&mut self, name: &str, help: &str, counter: Counter) {
         self.registry.register(name, help, counter);
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Registers a new family of counters with the label `reason`.
-    pub fn reasons(&mut self, name: &str, help: &str) -> ReasonCounters {
+    pub fn reason_counters(&mut self, name: &str, help: &str) -> ReasonCounters {
         let family = Family::<ReasonLabels, Counter>::default();
         self.registry.register(name, help, family.clone());
         ReasonCounters { family }
--- a/crates/observe/src/route_load.rs
+++ b/crates/observe/src/route_load.rs
@@ -63,7 +63,7 @@
 
 /// Openings of one client on a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct CallerLoad {
+pub struct ClientLoad {
     /// IP address of the client.
     pub caller: String,
     /// Number of openings by outcome.
@@ -72,7 +72,7 @@
 
 /// Summary of the clients of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct RouteCallers {
+pub struct RouteClients {
     /// Address and port that the clients connect to.
     pub route: String,
     /// Number of clients that were served or refused.
@@ -82,9 +82,9 @@
     /// Number of clients that were refused and never served.
     pub never_served: usize,
     /// The client with the most served and refused openings.
-    pub heaviest: CallerLoad,
+    pub heaviest: ClientLoad,
     /// The client with the most refused openings.
-    pub most_refused: CallerLoad,
+    pub most_refused: ClientLoad,
 }
 
 /// What a log line reports about an opening.
@@ -173,7 +173,7 @@
     }
 
     /// Returns the summary of each route's clients.
-    pub(crate) fn clients(&self) -> Vec<RouteCallers> {
+    pub(crate) fn clients(&self) -> Vec<RouteClients> {
         let listed: Vec<_> =
             self.clients.iter().filter(|(_, counts)| counts.finished() > 0).collect();
         let by_route = listed.chunk_by(|left, right| left.0.0 == right.0.0);
@@ -189,8 +189,8 @@
 }
 
 /// Summarizes the clients of one route; `None` if `clients` is empty.
-fn summarize_clients(clients: &[(&(String, String), &OpeningCounts)]) -> Option<RouteCallers> {
-    let load = |((_, client), openings): &(&(String, String), &OpeningCounts)| CallerLoad {
+fn summarize_clients(clients: &[(&(String, String), &OpeningCounts)]) -> Option<RouteClients> {
+    let load = |((_, client), openings): &(&(String, String), &OpeningCounts)| ClientLoad {
         caller: client.clone(),
         openings: **openings,
     };
@@ -198,7 +198,7 @@
     let client_with_most = |number: fn(&OpeningCounts) -> u64| {
         clients.iter().max_by_key(|(_, openings)| number(openings)).map(load)
     };
-    Some(RouteCallers {
+    Some(RouteClients {
         route: clients.first()?.0.0.clone(),
         callers: clients.len(),
         refused: refused().count(),
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 use crate::merged_logs::LogLine;
-use crate::route_load::{RouteCallers, RouteLoads, ZoneLoad};
+use crate::route_load::{RouteClients, RouteLoads, ZoneLoad};
 
 /// Maximum distance of an interval from the first line, in intervals. Lines farther away are
 /// counted as left out.
@@ -89,7 +89,7 @@
 
 /// Distribution of a step's durations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct StepLength {
+pub struct StepDurations {
     /// Name of the step: its first and its last event.
     pub step: &'static str,
     /// Number of completed steps.
@@ -120,11 +120,11 @@
     /// Times in which a daemon served nothing while others did.
     pub idle: Vec<IdleDaemon>,
     /// Durations of the steps that were seen.
-    pub steps: Vec<StepLength>,
+    pub steps: Vec<StepDurations>,
     /// Outcomes of openings by zone and route.
     pub zones: Vec<ZoneLoad>,
     /// Summary of the clients of each route.
-    pub callers: Vec<RouteCallers>,
+    pub callers: Vec<RouteClients>,
     /// Number of lines that could not be parsed.
     pub unreadable: u64,
     /// Number of lines that were left out because they are too many intervals away from the first
@@ -193,14 +193,14 @@
     }
 
     /// Returns the distribution of the durations; `None` if no step has ended.
-    fn report(&self, step: &'static str) -> Option<StepLength> {
+    fn report(&self, step: &'static str) -> Option<StepDurations> {
         let mut sorted = self.durations_ms.clone();
         sorted.sort_unstable();
         let percentile =
             |percent: usize| sorted.get((sorted.len() * percent / 100).min(sorted.len() - 1));
         let (p50_ms, p99_ms) =
             if sorted.is_empty() { return None } else { (percentile(50), percentile(99)) };
-        Some(StepLength { step, count: sorted.len(), p50_ms: *p50_ms?, p99_ms: *p99_ms? })
+        Some(StepDurations { step, count: sorted.len(), p50_ms: *p50_ms?, p99_ms: *p99_ms? })
     }
 }
 
--- a/crates/observe/tests/line_writer.rs
+++ b/crates/observe/tests/line_writer.rs
@@ -39,7 +39,7 @@
 fn lines_are_written_complete_and_in_order() {
     let writes = RecordedWrites::default();
     let writer = LineWriter::start(writes.clone(), Counter::default());
-    let mut lines = writer.lines();
+    let mut lines = writer.handle();
     let mut expected = String::new();
     for number in 0..100 {
         write!(lines, "line {number}").expect("written");
@@ -57,7 +57,7 @@
     let (release, blocked) = mpsc::channel();
     let lost = Counter::default();
     let writer = LineWriter::start(BlockedOutput(blocked), lost.clone());
-    let mut lines = writer.lines();
+    let mut lines = writer.handle();
     for _ in 0..20_000 {
         writeln!(lines, "{:100}", "").expect("written");
         lines.flush().expect("flushed");
@@ -81,7 +81,7 @@
     }
     let lost = Counter::default();
     let writer = LineWriter::start(FailingOutput, lost.clone());
-    let mut lines = writer.lines();
+    let mut lines = writer.handle();
     for _ in 0..3 {
         writeln!(lines, "line").expect("written");
         lines.flush().expect("flushed");
--- a/crates/observe/tests/merged_logs.rs
+++ b/crates/observe/tests/merged_logs.rs
@@ -1,6 +1,6 @@
 //! Log lines of machines with different clocks, merged and selected by request, flow or daemon.
 
-use weirhinge_observe::{Story, Subject};
+use weirhinge_observe::{MergedLogs, Subject};
 
 const FLOW: &str = "100.64.0.7:40001>198.18.0.1:443";
 
@@ -16,7 +16,7 @@
 }
 
 /// Logs of a balancer, and of an agent whose clock is 20 seconds ahead.
-fn merged_logs() -> Story {
+fn merged_logs() -> MergedLogs {
     let flow = flow_field(FLOW);
     let agent = ",\"agent\":\"10.0.0.9\"";
     let balancer = [
@@ -32,40 +32,40 @@
         line("a", 21, "answered", &flow),
         line("a", 24, "returned", &format!("{flow},\"outcome\":\"bounced\"")),
     ];
-    let mut story = Story::default();
-    story.read(&balancer.join("\n"));
-    story.read(&agent.join("\n"));
-    story
+    let mut logs = MergedLogs::default();
+    logs.read(&balancer.join("\n"));
+    logs.read(&agent.join("\n"));
+    logs
 }
 
-fn events(story: &Story, subject: &Subject) -> Vec<String> {
-    story.tell(subject).into_iter().map(|selected| selected.line.event).collect()
+fn events(logs: &MergedLogs, subject: &Subject) -> Vec<String> {
+    logs.lines_about(subject).into_iter().map(|selected| selected.line.event).collect()
 }
 
 #[test]
 fn request_lines_are_ordered_by_corrected_time() {
-    let story = merged_logs();
-    assert_eq!(story.clock_offsets().get("a"), Some(&20_000));
-    let selected = events(&story, &Subject::Request("r-1".to_owned()));
+    let logs = merged_logs();
+    assert_eq!(logs.clock_offsets().get("a"), Some(&20_000));
+    let selected = events(&logs, &Subject::Request("r-1".to_owned()));
     assert_eq!(selected, ["opening", "answered", "request", "returned", "reset"]);
 }
 
 #[test]
 fn flow_and_daemon_select_all_their_lines() {
-    let story = merged_logs();
-    let flow = events(&story, &Subject::Flow(FLOW.to_owned()));
+    let logs = merged_logs();
+    let flow = events(&logs, &Subject::Flow(FLOW.to_owned()));
     assert_eq!(flow.len(), 7);
-    assert_eq!(events(&story, &Subject::Node("a".to_owned())).len(), 3);
-    assert!(events(&story, &Subject::Request("unknown".to_owned())).is_empty());
+    assert_eq!(events(&logs, &Subject::Node("a".to_owned())).len(), 3);
+    assert!(events(&logs, &Subject::Request("unknown".to_owned())).is_empty());
 }
 
 #[test]
 fn leading_text_is_ignored_and_unreadable_lines_are_counted() {
-    let mut story = Story::default();
-    story.read(&format!("  12.5 machine-1 {}\n", line("b", 1, "start", "")));
-    story.read("no line at all\n{\"ts\":\"later\"}\n{broken\n\n");
-    assert_eq!(story.unreadable(), 3);
-    assert_eq!(events(&story, &Subject::Node("b".to_owned())), ["start"]);
+    let mut logs = MergedLogs::default();
+    logs.read(&format!("  12.5 machine-1 {}\n", line("b", 1, "start", "")));
+    logs.read("no line at all\n{\"ts\":\"later\"}\n{broken\n\n");
+    assert_eq!(logs.unreadable(), 3);
+    assert_eq!(events(&logs, &Subject::Node("b".to_owned())), ["start"]);
 }
 
 /// Answers are logged later than openings even if clocks agree, because of the network delay and
@@ -73,10 +73,10 @@
 #[test]
 fn small_delay_is_not_treated_as_clock_offset() {
     let flow = flow_field(FLOW);
-    let mut story = Story::default();
-    story.read(&line("b", 1, "opening", &format!("{flow},\"agent\":\"10.0.0.9\"")));
-    story.read(&line("a", 1, "start", ",\"address\":\"10.0.0.9\""));
+    let mut logs = MergedLogs::default();
+    logs.read(&line("b", 1, "opening", &format!("{flow},\"agent\":\"10.0.0.9\"")));
+    logs.read(&line("a", 1, "start", ",\"address\":\"10.0.0.9\""));
     let answered = line("a", 1, "answered", &flow).replace("01.500Z", "01.512Z");
-    story.read(&answered);
-    assert!(story.clock_offsets().is_empty());
+    logs.read(&answered);
+    assert!(logs.clock_offsets().is_empty());
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -38,9 +38,9 @@
     /// Declares the metrics.
     pub fn declare(metrics: &mut Metrics) -> Self {
         Self {
-            forwarded: metrics.reasons("packets_forwarded", "Packets forwarded"),
-            resets: metrics.reasons("resets", "Flows reset"),
-            dropped: metrics.reasons("packets_dropped", "Packets dropped"),
+            forwarded: metrics.reason_counters("packets_forwarded", "Packets forwarded"),
+            resets: metrics.reason_counters("resets", "Flows reset"),
+            dropped: metrics.reason_counters("packets_dropped", "Packets dropped"),
             searches_deferred: metrics
                 .counter("searches_deferred", "Searches put off to keep the link free"),
             handed_off: metrics
@@ -60,7 +60,7 @@
                 "queue_seconds",
                 "Seconds for which opening packets that found room waited",
             ),
-            grants: metrics.reasons("room_grants", "Grants of room by agents"),
+            grants: metrics.reason_counters("room_grants", "Grants of room by agents"),
         }
     }
 }
@@ -103,7 +103,7 @@
     pub fn declare(metrics: &mut Metrics) -> Self {
         Self {
             delivered: metrics.counter("packets_delivered", "Packets handed to the target"),
-            returned: metrics.reasons("packets_returned", "Packets sent back to balancers"),
+            returned: metrics.reason_counters("packets_returned", "Packets sent back to balancers"),
             openings_waited: metrics
                 .counter("openings_waited", "Opening packets that waited for room"),
             grants_sent: metrics.counter("grants_sent", "Grants of room sent to balancers"),
@@ -113,7 +113,7 @@
                 .counter("grants_lapsed", "Grants that were not answered in time"),
             balancers_asking: metrics.gauge("balancers_asking", "Balancers that ask for room"),
             to_clients: metrics.counter("packets_to_clients", "Packets sent to clients"),
-            dropped: metrics.reasons("packets_dropped", "Packets dropped"),
+            dropped: metrics.reason_counters("packets_dropped", "Packets dropped"),
             flows_reset: metrics.counter("flows_reset", "Flows that a restarted target lost"),
             ejections: metrics.counter("target_ejections", "Times that the target was ejected"),
             ejected: metrics.gauge("target_ejected", "Whether the target is ejected now"),
@@ -154,9 +154,9 @@
             age_ms: metrics.gauge("store_age_ms", "Milliseconds since the store's confirmation"),
             zones_evacuated: metrics
                 .gauge("zones_evacuated", "Zones whose targets get no new flows"),
-            fetches: metrics.reasons("peer_fetches", "Fetches from peers"),
+            fetches: metrics.reason_counters("peer_fetches", "Fetches from peers"),
             fetch_seconds: metrics.histogram("peer_fetch_seconds", "Seconds of one fetch"),
-            refused: metrics.reasons("peer_messages_refused", "Datagrams of peers refused"),
+            refused: metrics.reason_counters("peer_messages_refused", "Datagrams of peers refused"),
         }
     }
 }
@@ -182,8 +182,9 @@
         Self {
             calls: metrics.counter("store_calls", "Calls to the store"),
             failures: metrics.counter("store_failures", "Failed calls to the store"),
-            rejected_items: metrics.reasons("store_items_refused", "Unusable items of the store"),
-            listings: metrics.reasons("store_listings", "Listings of the whole store"),
+            rejected_items: metrics
+                .reason_counters("store_items_refused", "Unusable items of the store"),
+            listings: metrics.reason_counters("store_listings", "Listings of the whole store"),
             call_seconds: metrics.histogram("store_call_seconds", "Seconds of one store call"),
         }
     }
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -6,7 +6,7 @@
 use eyre::WrapErr;
 use pico_args::Arguments;
 use serde_json::Value;
-use weirhinge_observe::{Story, StoryLine, Subject};
+use weirhinge_observe::{MergedLine, MergedLogs, Subject};
 
 use super::CliFailure;
 use super::daemon::option;
@@ -48,13 +48,13 @@
     }
     let subject = read_subject(&mut arguments)?;
     let files = files(arguments)?;
-    let mut story = Story::default();
-    read_logs(&files, &mut story).map_err(CliFailure::Runtime)?;
-    let told = story.tell(&subject);
+    let mut logs = MergedLogs::default();
+    read_logs(&files, &mut logs).map_err(CliFailure::Runtime)?;
+    let told = logs.lines_about(&subject);
     for line in &told {
         println!("{}", format_line(line));
     }
-    print_summary(&story, told.len());
+    print_summary(&logs, told.len());
     Ok(())
 }
 
@@ -72,20 +72,20 @@
     }
 }
 
-fn read_logs(files: &[String], story: &mut Story) -> eyre::Result<()> {
+fn read_logs(files: &[String], logs: &mut MergedLogs) -> eyre::Result<()> {
     if files.is_empty() {
         let mut bytes = Vec::new();
         std::io::stdin().read_to_end(&mut bytes).wrap_err("read standard input")?;
-        story.read(&String::from_utf8_lossy(&bytes));
+        logs.read(&String::from_utf8_lossy(&bytes));
     }
     for file in files {
         let bytes = std::fs::read(file).wrap_err_with(|| format!("read {file}"))?;
-        story.read(&String::from_utf8_lossy(&bytes));
+        logs.read(&String::from_utf8_lossy(&bytes));
     }
     Ok(())
 }
 
-fn format_line(told: &StoryLine) -> String {
+fn format_line(told: &MergedLine) -> String {
     let since = Duration::from_millis(u64::try_from(told.at_ms).unwrap_or(0));
     let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since);
     let fields = told.line.fields.iter();
@@ -99,12 +99,12 @@
     format!("{time} {:<28} {:<14} {}", told.line.node, told.line.event, fields.join(" "))
 }
 
-fn print_summary(story: &Story, told: usize) {
-    let offsets = story.clock_offsets();
+fn print_summary(logs: &MergedLogs, told: usize) {
+    let offsets = logs.clock_offsets();
     let largest = offsets.iter().max_by_key(|(_, offset)| offset.abs());
     let clocks = largest.map_or_else(
         || "no clock differs".to_owned(),
         |(node, offset)| format!("largest clock difference corrected: {offset} ms at {node}"),
     );
-    println!("{told} lines; {clocks}; {} lines could not be read", story.unreadable());
+    println!("{told} lines; {clocks}; {} lines could not be read", logs.unreadable());
 }
--- a/crates/weirhinge/src/cli/relay.rs
+++ b/crates/weirhinge/src/cli/relay.rs
@@ -3,7 +3,7 @@
 use pico_args::Arguments;
 use slog::Level;
 use weirhinge_observe::{LogFormat, LogOptions, LogOutput, Logging};
-use weirhinge_platform::{SETTINGS_VARIABLE, UsersPlatform};
+use weirhinge_platform::{ExternalPlatform, SETTINGS_VARIABLE};
 use weirhinge_relay::{ProcessLog, RawSettings, Signals, run_agent, run_balancer, run_process};
 
 use super::CliFailure;
@@ -44,13 +44,13 @@
         Some("balancer") => {
             let settings = raw.into_balancer(&file).map_err(CliFailure::usage)?;
             run_logged(options, |log, signals| {
-                run_balancer(UsersPlatform, settings, file, log, signals)
+                run_balancer(ExternalPlatform, settings, file, log, signals)
             })
         }
         Some("agent") => {
             let settings = raw.into_agent(&file).map_err(CliFailure::usage)?;
             run_logged(options, |log, signals| {
-                run_agent(UsersPlatform, settings, file, log, signals)
+                run_agent(ExternalPlatform, settings, file, log, signals)
             })
         }
         _ => Err(CliFailure::usage(format!("role: expected balancer or agent\n\n{}", usage()))),
--- a/crates/weirhinge/src/cli/timeline.rs
+++ b/crates/weirhinge/src/cli/timeline.rs
@@ -6,7 +6,7 @@
 use eyre::WrapErr;
 use pico_args::Arguments;
 use weirhinge_observe::{
-    CallerLoad, IdleDaemon, Interval, OpeningCounts, RouteCallers, StartWave, Timeline,
+    ClientLoad, IdleDaemon, Interval, OpeningCounts, RouteClients, StartWave, Timeline,
     TimelineOptions, TimelineReport, ZoneLoad,
 };
 
@@ -123,7 +123,7 @@
     format!("openings: zone {}, route {}: {}\n", load.zone, load.route, counts(&load.openings))
 }
 
-fn format_callers(route: &RouteCallers) -> String {
+fn format_callers(route: &RouteClients) -> String {
     format!(
         "callers: route {}: {}, {} refused at least once, {} never served; most openings {}; \
          most refused {}\n",
@@ -136,7 +136,7 @@
     )
 }
 
-fn format_caller(load: &CallerLoad) -> String {
+fn format_caller(load: &ClientLoad) -> String {
     format!("{} ({})", load.caller, counts(&load.openings))
 }
 
