--- a/crates/observe/src/logging.rs
+++ b/crates/observe/src/logging.rs
@@ -93,9 +93,9 @@
         let log = match options.format {
             LogFormat::Terminal => {
                 let decorator = slog_term::PlainDecorator::new(lines);
-                root(slog_term::FullFormat::new(decorator).build(), options.level)
+                root_logger(slog_term::FullFormat::new(decorator).build(), options.level)
             }
-            LogFormat::Json => root(json_drain(lines), options.level),
+            LogFormat::Json => root_logger(json_drain(lines), options.level),
         };
         Self { log, lost, writer }
     }
@@ -109,7 +109,7 @@
 
 /// Builds a logger that formats each line on the logging thread and adds the time (`ts`) and the
 /// milliseconds since the start (`up_ms`).
-fn root<D>(drain: D, level: Level) -> Logger
+fn root_logger<D>(drain: D, level: Level) -> Logger
 where
     D: Drain<Ok = (), Err = std::io::Error> + Send + 'static,
 {
--- a/crates/observe/src/route_load.rs
+++ b/crates/observe/src/route_load.rs
@@ -44,6 +44,7 @@
         *count += 1;
     }
 
+    /// Number of openings that were served or refused.
     fn finished(&self) -> u64 {
         self.served + self.refused
     }
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -66,7 +66,7 @@
     pub agents: Option<(i64, i64)>,
     /// Number of starts.
     pub daemons: usize,
-    /// The first time that a daemon had a configuration in effect.
+    /// The first time that a daemon put a configuration into effect.
     pub first_configuration: Option<i64>,
     /// The first reset of a flow because no target held it.
     pub first_reset: Option<i64>,
@@ -136,7 +136,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     options: TimelineOptions,
-    first_at: Option<i64>,
+    /// Time of the first line, in milliseconds since the Unix epoch.
+    first_line_at: Option<i64>,
+    /// Number of lines by interval and key.
     counts: BTreeMap<i64, BTreeMap<String, u64>>,
     /// Time of each start, and whether a balancer started.
     starts: Vec<(i64, bool)>,
@@ -146,7 +148,9 @@
     served: BTreeMap<String, BTreeMap<i64, u32>>,
     /// Spans in which each daemon wrote lines.
     active_spans: BTreeMap<String, BTreeSet<i64>>,
+    /// Steps from a search to the reset of its flow, by daemon and flow.
     searches: StepTimes,
+    /// Steps from an opening that was sent to the target's answer, by flow.
     openings: StepTimes,
     route_loads: RouteLoads,
     unreadable: u64,
@@ -224,7 +228,7 @@
     /// Adds a line to all summaries if the options include it. Zones are stored from all lines,
     /// because a daemon may have started before the covered time.
     fn record(&mut self, line: &LogLine) {
-        let at_ms = line.at_ms - *self.first_at.get_or_insert(line.at_ms);
+        let at_ms = line.at_ms - *self.first_line_at.get_or_insert(line.at_ms);
         self.route_loads.note_zone(line);
         let is_inside = (self.options.from_ms..self.options.to_ms).contains(&at_ms);
         if !is_inside || !line.node.starts_with(&self.options.node) {
--- a/crates/observe/tests/line_writer.rs
+++ b/crates/observe/tests/line_writer.rs
@@ -42,14 +42,14 @@
     let mut lines = writer.handle();
     let mut expected = String::new();
     for number in 0..100 {
-        write!(lines, "line {number}").expect("written");
-        writeln!(lines, " ends").expect("written");
-        lines.flush().expect("flushed");
+        write!(lines, "line {number}").expect("line is collected");
+        writeln!(lines, " ends").expect("line is collected");
+        lines.flush().expect("line is buffered");
         expected += &format!("line {number} ends\n");
     }
     writer.finish();
     let written = writes.0.lock().expect("lock is not poisoned").concat();
-    assert_eq!(String::from_utf8(written).expect("text"), expected);
+    assert_eq!(String::from_utf8(written).expect("output is UTF-8"), expected);
 }
 
 #[test]
@@ -59,8 +59,8 @@
     let writer = LineWriter::start(BlockedOutput(blocked), lost.clone());
     let mut lines = writer.handle();
     for _ in 0..20_000 {
-        writeln!(lines, "{:100}", "").expect("written");
-        lines.flush().expect("flushed");
+        writeln!(lines, "{:100}", "").expect("line is collected");
+        lines.flush().expect("line is buffered");
     }
     assert!(lost.get() > 0);
     writer.finish();
@@ -83,8 +83,8 @@
     let writer = LineWriter::start(FailingOutput, lost.clone());
     let mut lines = writer.handle();
     for _ in 0..3 {
-        writeln!(lines, "line").expect("written");
-        lines.flush().expect("flushed");
+        writeln!(lines, "line").expect("line is collected");
+        lines.flush().expect("line is buffered");
     }
     writer.finish();
     assert_eq!(lost.get(), 3);
--- a/crates/observe/tests/merged_logs.rs
+++ b/crates/observe/tests/merged_logs.rs
@@ -69,7 +69,8 @@
 }
 
 /// Answers are logged later than openings even if clocks agree, because of the network delay and
-/// the target's response time. Treating this as a clock offset moved answers before their openings.
+/// the target's response time. Treating this delay as a clock offset would move the agent's lines
+/// before the lines that caused them.
 #[test]
 fn small_delay_is_not_treated_as_clock_offset() {
     let flow = flow_field(FLOW);
