--- a/crates/rehearsal/src/agreement.rs
+++ b/crates/rehearsal/src/agreement.rs
@@ -1,5 +1,6 @@
-//! Measures agreement with real processes: how long an accepted write takes to
-//! be in force everywhere, and how long a leader's death stops writes.
+//! Measures configuration consensus with real processes: how long an accepted
+//! write takes to be in effect everywhere, and how long the failure of a leader
+//! interrupts writes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,7 +16,8 @@
 use crate::sampler::percentile;
 use crate::scenario::Scenario;
 
-/// Seven balancers and ten agents over three zones, as at Bluebonnet.
+/// Seven balancers and ten agents in three zones, similar to the bluebonnet
+/// scenario.
 const FLEET: &str = r#"
 description = "agreement"
 seconds = 1
@@ -46,29 +48,31 @@
 load = 0.0
 "#;
 
-/// Time for the group to form before the first write.
-const SETTLE: Duration = Duration::from_secs(12);
-/// Time between two looks at a daemon's revision.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest that a write may take to be in force everywhere.
-const IN_FORCE_LIMIT: Duration = Duration::from_secs(30);
-/// Longest wait for one answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that the group gets to form before a write.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+/// Interval between two polls of a daemon's revision.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time within which a write must be in effect everywhere.
+const IN_EFFECT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What was measured, in seconds.
+/// Results, in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AgreementResult {
-    /// Median time from writing to acceptance.
+    /// Median time from sending a write to its acceptance.
     pub accepted_p50: f64,
-    /// Median time from acceptance until every balancer has the write in force.
+    /// Median time from acceptance until the write is in effect at every balancer.
     pub balancers_p50: f64,
-    /// Longest of the same.
+    /// Maximum time from acceptance until the write is in effect at every balancer.
     pub balancers_max: f64,
-    /// Median time until every agent has it too.
+    /// Median time from acceptance until the write is in effect at every balancer
+    /// and agent.
     pub everywhere_p50: f64,
-    /// Longest of the same.
+    /// Maximum time from acceptance until the write is in effect at every balancer
+    /// and agent.
     pub everywhere_max: f64,
-    /// Times from a leader's death to the acceptance of a write begun just
+    /// Times from the kill of a leader to the acceptance of a write sent right
     /// after it.
     pub outages: Vec<f64>,
 }
@@ -79,15 +83,20 @@
 }
 
 #[derive(Deserialize)]
-struct Leads {
+struct LeaderStatus {
     leads: bool,
 }
 
-/// Measures `writes` writes, then `deaths` deaths of leaders.
+/// Measures `writes` writes, then the outages after `leader_kills` kills of the
+/// leader.
 ///
 /// # Errors
-/// When a part cannot be started, or a write is not in force in time.
-pub async fn measure_agreement(writes: usize, deaths: usize) -> eyre::Result<AgreementResult> {
+/// Fails if a part cannot be started, or a write is not accepted or not in effect
+/// in time.
+pub async fn measure_agreement(
+    writes: usize,
+    leader_kills: usize,
+) -> eyre::Result<AgreementResult> {
     let scenario = Scenario::from_toml("agreement", FLEET)?;
     let options = FleetOptions {
         seed: 1,
@@ -97,39 +106,40 @@
         plant: None,
     };
     let mut fleet = Fleet::start(&scenario, &options, &History::new()?).await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let (mut accepted, mut balancers, mut everywhere) = (Vec::new(), Vec::new(), Vec::new());
     for number in 0..writes {
-        let began = Instant::now();
-        write(&fleet, number).await?;
-        accepted.push(began.elapsed().as_secs_f64());
-        let agreed = Instant::now();
+        let started = Instant::now();
+        write_change(&fleet, number).await?;
+        accepted.push(started.elapsed().as_secs_f64());
+        let accepted_at = Instant::now();
         let revision = highest_revision(&fleet.balancer_admins()).await?;
-        wait_for(&fleet.balancer_admins(), revision).await?;
-        balancers.push(agreed.elapsed().as_secs_f64());
-        wait_for(&fleet.agent_admins(), revision).await?;
-        everywhere.push(agreed.elapsed().as_secs_f64());
+        wait_for_revision(&fleet.balancer_admins(), revision).await?;
+        balancers.push(accepted_at.elapsed().as_secs_f64());
+        wait_for_revision(&fleet.agent_admins(), revision).await?;
+        everywhere.push(accepted_at.elapsed().as_secs_f64());
     }
     let mut outages = Vec::new();
-    for number in 0..deaths {
+    for number in 0..leader_kills {
         outages.push(measure_outage(&mut fleet, writes + number).await?);
     }
     for values in [&mut accepted, &mut balancers, &mut everywhere] {
         values.sort_by(f64::total_cmp);
     }
-    let of = |values: &[f64], rank| percentile(values, rank).unwrap_or(f64::NAN);
+    let at_rank = |values: &[f64], rank| percentile(values, rank).unwrap_or(f64::NAN);
     Ok(AgreementResult {
-        accepted_p50: of(&accepted, 0.5),
-        balancers_p50: of(&balancers, 0.5),
-        balancers_max: of(&balancers, 1.0),
-        everywhere_p50: of(&everywhere, 0.5),
-        everywhere_max: of(&everywhere, 1.0),
+        accepted_p50: at_rank(&accepted, 0.5),
+        balancers_p50: at_rank(&balancers, 0.5),
+        balancers_max: at_rank(&balancers, 1.0),
+        everywhere_p50: at_rank(&everywhere, 0.5),
+        everywhere_max: at_rank(&everywhere, 1.0),
         outages,
     })
 }
 
-/// Writes a change that differs from the one before.
-async fn write(fleet: &Fleet, number: usize) -> eyre::Result<()> {
+/// Drains or activates target 0 in turn, so that each write changes the
+/// configuration.
+async fn write_change(fleet: &Fleet, number: usize) -> eyre::Result<()> {
     let drains = number.is_multiple_of(2);
     let state = if drains { TargetState::Draining } else { TargetState::Active };
     fleet.set_target_state(0, state).await
@@ -138,13 +148,13 @@
 async fn measure_outage(fleet: &mut Fleet, number: usize) -> eyre::Result<f64> {
     let leader = find_leader(fleet).await?;
     fleet.balancers[leader].process.kill().await;
-    let died = Instant::now();
+    let killed_at = Instant::now();
     fleet.remove_from_list(leader);
-    write(fleet, number).await?;
-    let outage = died.elapsed().as_secs_f64();
+    write_change(fleet, number).await?;
+    let outage = killed_at.elapsed().as_secs_f64();
     fleet.start_balancer().await?;
     fleet.publish_machines();
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     Ok(outage)
 }
 
@@ -154,13 +164,13 @@
             continue;
         };
         if let Ok(Fetched::Body { bytes, .. }) =
-            fetch(api, "/v1/status", None, ANSWER_TIMEOUT).await
-            && serde_json::from_slice::<Leads>(&bytes).is_ok_and(|status| status.leads)
+            fetch(api, "/v1/status", None, RESPONSE_TIMEOUT).await
+            && serde_json::from_slice::<LeaderStatus>(&bytes).is_ok_and(|status| status.leads)
         {
             return Ok(number);
         }
     }
-    Err(eyre!("find the leader: no balancer leads"))
+    Err(eyre!("find the leader: no balancer reports that it leads"))
 }
 
 async fn highest_revision(admins: &[SocketAddr]) -> eyre::Result<u64> {
@@ -170,31 +180,36 @@
             highest = highest.max(revision);
         }
     }
-    if highest == 0 { Err(eyre!("no balancer answers")) } else { Ok(highest) }
+    if highest == 0 {
+        Err(eyre!("read the revision: no balancer reports one"))
+    } else {
+        Ok(highest)
+    }
 }
 
 async fn revision_at(admin: SocketAddr) -> eyre::Result<u64> {
-    match fetch(admin, "/health", None, ANSWER_TIMEOUT).await? {
+    match fetch(admin, "/health", None, RESPONSE_TIMEOUT).await? {
         Fetched::Body { bytes, .. } => {
-            let health: HealthRevision = serde_json::from_slice(&bytes).wrap_err("read health")?;
+            let health: HealthRevision =
+                serde_json::from_slice(&bytes).wrap_err("parse health response")?;
             Ok(health.revision)
         }
-        Fetched::Unchanged => Err(eyre!("health of {admin} without a body")),
+        Fetched::Unchanged => Err(eyre!("read health of {admin}: response without a body")),
     }
 }
 
-/// Waits, for all daemons at once, until each has the revision.
-async fn wait_for(admins: &[SocketAddr], revision: u64) -> eyre::Result<()> {
+/// Waits until every daemon has the revision.
+async fn wait_for_revision(admins: &[SocketAddr], revision: u64) -> eyre::Result<()> {
     let mut waits = JoinSet::new();
     for &admin in admins {
         waits.spawn(async move {
             while revision_at(admin).await.unwrap_or(0) < revision {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
     }
     let all = async { while waits.join_next().await.is_some() {} };
-    tokio::time::timeout(IN_FORCE_LIMIT, all)
+    tokio::time::timeout(IN_EFFECT_TIMEOUT, all)
         .await
-        .wrap_err_with(|| format!("wait for revision {revision}"))
+        .wrap_err_with(|| format!("wait for revision {revision} at every daemon"))
 }
--- a/crates/rehearsal/src/bench.rs
+++ b/crates/rehearsal/src/bench.rs
@@ -1,5 +1,5 @@
-//! Measures the balancer's packets a second on one core against a bare
-//! one-thread UDP relay in the same run.
+//! Compares the balancer's packet rate on one core with that of a minimal
+//! single-threaded UDP relay in the same run.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -20,49 +20,49 @@
 use crate::standin::link::enlarge_receive_buffer;
 use crate::standin::platform::Platform;
 
-/// Datagrams per system call of the generators and the sinks.
+/// Datagrams per system call in generators and sinks.
 const BATCH: usize = 64;
-/// Threads that generate packets; enough to keep one forwarding thread busy.
+/// Number of packet generator threads; enough to saturate one forwarding thread.
 const GENERATORS: usize = 2;
 /// Payload of a generated packet, in bytes: a small request.
-const PAYLOAD: usize = 100;
-/// Agents that the balancer spreads the packets over, as for a service of today.
+const PAYLOAD_BYTES: usize = 100;
+/// Number of agents that packets are distributed over, as in a typical service.
 const AGENTS: u16 = 7;
-/// Different flows that are generated.
+/// Number of distinct flows per generator.
 const FLOWS: usize = 1_024;
-/// Time before each measurement in which the load runs up.
-const RUN_UP: Duration = Duration::from_millis(500);
-/// How long a receiving thread waits before it looks for its end.
+/// Duration of the load before each measurement starts.
+const WARM_UP: Duration = Duration::from_millis(500);
+/// Receive timeout, after which a thread checks whether to stop.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Time for the balancer to read its configuration.
-const SETTLE: Duration = Duration::from_millis(1_500);
+/// Time that the balancer gets to read its configuration.
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// One round of the three measurements, in packets a second.
+/// One round of the three measurements, in packets per second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ForwardingRound {
-    /// The bare relay: receives one datagram, sends one datagram.
+    /// The minimal relay: one datagram per system call.
     pub relay: f64,
     /// The balancer with one datagram per system call.
     pub unbatched: f64,
-    /// The balancer with its default batch.
+    /// The balancer with its default batch size.
     pub batched: f64,
 }
 
-/// Medians over the rounds.
+/// Results of all rounds with the median ratios.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ForwardingResult {
     /// Every round.
     pub rounds: Vec<ForwardingRound>,
-    /// Median of unbatched over relay, pair by pair.
+    /// Median over the rounds of the ratio of unbatched to relay.
     pub unbatched_ratio: f64,
-    /// Median of batched over relay, pair by pair.
+    /// Median over the rounds of the ratio of batched to relay.
     pub batched_ratio: f64,
 }
 
-/// Measures `rounds` rounds of `seconds` each.
+/// Runs `rounds` rounds of three measurements that last `seconds` each.
 ///
 /// # Errors
-/// When a socket, thread or process cannot be started.
+/// Fails if a socket cannot be set up or a process cannot be started.
 pub async fn measure_forwarding(rounds: usize, seconds: f64) -> eyre::Result<ForwardingResult> {
     let window = Duration::from_secs_f64(seconds);
     let mut measured = Vec::new();
@@ -73,8 +73,8 @@
             batched: measure_balancer(window, 32).await?,
         });
     }
-    let ratio = |pick: fn(&ForwardingRound) -> f64| {
-        let mut ratios: Vec<f64> = measured.iter().map(|round| pick(round) / round.relay).collect();
+    let ratio = |rate: fn(&ForwardingRound) -> f64| {
+        let mut ratios: Vec<f64> = measured.iter().map(|round| rate(round) / round.relay).collect();
         ratios.sort_by(f64::total_cmp);
         ratios[ratios.len() / 2]
     };
@@ -86,26 +86,26 @@
 }
 
 async fn measure_relay(window: Duration) -> eyre::Result<f64> {
-    let ending = Arc::new(AtomicBool::new(false));
-    let sink = Sink::start(&ending, AGENTS)?;
+    let stop = Arc::new(AtomicBool::new(false));
+    let sink = Sink::start(&stop, AGENTS)?;
     let socket = bind()?;
     let address = socket.local_addr().wrap_err("read the relay's address")?;
-    let relay_ending = ending.clone();
+    let relay_stop = stop.clone();
     let receivers = sink.addresses.clone();
-    let relay = std::thread::spawn(move || relay_all(&socket, &receivers, &relay_ending));
-    let rate = measure_rate(&sink, address, window, &ending).await?;
-    // The thread ends by itself within its time-out.
+    let relay = std::thread::spawn(move || forward_all(&socket, &receivers, &relay_stop));
+    let rate = measure_rate(&sink, address, window, &stop).await?;
+    // The thread exits within its receive timeout.
     let _ = relay.join();
     Ok(rate)
 }
 
-/// Sends each datagram on to the next receiver in turn.
-fn relay_all(socket: &UdpSocket, receivers: &[SocketAddr], ending: &AtomicBool) {
+/// Forwards datagrams to the receivers, round-robin.
+fn forward_all(socket: &UdpSocket, receivers: &[SocketAddr], stop: &AtomicBool) {
     let mut datagram = [0; 2_048];
     let mut next = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         if let Ok((length, _)) = socket.recv_from(&mut datagram) {
-            // A full receiver loses the datagram, here and in the balancer.
+            // If the receiver's buffer is full, the datagram is lost, as in the balancer.
             let _ = socket.send_to(&datagram[..length], receivers[next]);
             next = (next + 1) % receivers.len();
         }
@@ -113,9 +113,9 @@
 }
 
 async fn measure_balancer(window: Duration, batch: usize) -> eyre::Result<f64> {
-    let ending = Arc::new(AtomicBool::new(false));
-    let sink = Sink::start(&ending, AGENTS)?;
-    let platform = Platform::start().await.wrap_err("start platform")?;
+    let stop = Arc::new(AtomicBool::new(false));
+    let sink = Sink::start(&stop, AGENTS)?;
+    let platform = Platform::start().await.wrap_err("start the platform")?;
     platform.publish(document(&sink.addresses));
     let work_folder = make_work_folder()?;
     let keys = work_folder.join(KEYS_FILE).display().to_string();
@@ -128,47 +128,48 @@
     let mut arguments = vec!["balancer".to_owned()];
     arguments.extend(pairs.into_iter().flat_map(|(flag, value)| [flag.to_owned(), value]));
     let mut balancer = Program::find(None)?.start("balancer", &arguments).await?;
-    tokio::time::sleep(SETTLE).await;
-    let rate = measure_rate(&sink, balancer.addresses.data, window, &ending).await?;
+    tokio::time::sleep(SETTLE_TIME).await;
+    let rate = measure_rate(&sink, balancer.addresses.data, window, &stop).await?;
     balancer.kill().await;
-    // A folder that cannot be removed is left to the system's own cleaning.
+    // If removal fails, the folder remains in the system's temporary folder.
     let _ = std::fs::remove_dir_all(work_folder);
     Ok(rate)
 }
 
-/// Loads `address` and counts what comes out at the sink.
+/// Sends packets to `address` and returns the rate at which the sink receives
+/// them, in packets per second.
 async fn measure_rate(
     sink: &Sink,
     address: SocketAddr,
     window: Duration,
-    ending: &Arc<AtomicBool>,
+    stop: &Arc<AtomicBool>,
 ) -> eyre::Result<f64> {
     let generators: Vec<JoinHandle<()>> = (0..GENERATORS)
         .map(|number| {
             let socket = bind()?;
-            let ending = ending.clone();
-            Ok(std::thread::spawn(move || generate(&socket, number, address, &ending)))
+            let stop = stop.clone();
+            Ok(std::thread::spawn(move || generate(&socket, number, address, &stop)))
         })
         .collect::<eyre::Result<_>>()?;
-    tokio::time::sleep(RUN_UP).await;
+    tokio::time::sleep(WARM_UP).await;
     let before = sink.received.load(Ordering::Relaxed);
     let started = Instant::now();
     tokio::time::sleep(window).await;
     let received = sink.received.load(Ordering::Relaxed) - before;
     let elapsed = started.elapsed();
-    ending.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for generator in generators {
-        // A generator ends by itself within one batch.
+        // A generator exits after its current batch.
         let _ = generator.join();
     }
     Ok(received as f64 / elapsed.as_secs_f64())
 }
 
-fn generate(socket: &UdpSocket, number: usize, to: SocketAddr, ending: &AtomicBool) {
+fn generate(socket: &UdpSocket, number: usize, to: SocketAddr, stop: &AtomicBool) {
     let packets = packets(number);
     let mut batch = SendBatch::new(BATCH);
     let mut next = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         while !batch.is_full() {
             let buffer = batch.next_buffer();
             buffer.clear();
@@ -188,29 +189,29 @@
             let _ = PacketBuilder::ipv4([198, 18, 0, generator as u8], [203, 0, 113, 10], 64)
                 .tcp(flow as u16, 8_443, 1, 4_000)
                 .ack(1)
-                .write(&mut packet, &[7; PAYLOAD]);
+                .write(&mut packet, &[7; PAYLOAD_BYTES]);
             packet
         })
         .collect()
 }
 
-/// Counts the datagrams that arrive at several addresses.
+/// Receives and counts datagrams at several addresses.
 struct Sink {
     addresses: Vec<SocketAddr>,
     received: Arc<AtomicU64>,
 }
 
 impl Sink {
-    fn start(ending: &Arc<AtomicBool>, count: u16) -> eyre::Result<Self> {
+    fn start(stop: &Arc<AtomicBool>, count: u16) -> eyre::Result<Self> {
         let mut addresses = Vec::new();
         let received = Arc::new(AtomicU64::new(0));
         for _ in 0..count {
             let socket = bind()?;
             addresses.push(socket.local_addr().wrap_err("read the sink's address")?);
-            let (counter, ending) = (received.clone(), ending.clone());
+            let (counter, stop) = (received.clone(), stop.clone());
             std::thread::spawn(move || {
                 let mut batch = ReceiveBatch::new(BATCH);
-                while !ending.load(Ordering::Relaxed) && batch.receive(&socket).is_ok() {
+                while !stop.load(Ordering::Relaxed) && batch.receive(&socket).is_ok() {
                     counter.fetch_add(batch.datagrams().count() as u64, Ordering::Relaxed);
                 }
             });
@@ -220,8 +221,8 @@
 }
 
 fn bind() -> eyre::Result<UdpSocket> {
-    let socket = UdpSocket::bind("127.0.0.1:0").wrap_err("bind a socket on loopback")?;
-    socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).wrap_err("set a read time-out")?;
+    let socket = UdpSocket::bind("127.0.0.1:0").wrap_err("bind a loopback socket")?;
+    socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).wrap_err("set the receive timeout")?;
     enlarge_receive_buffer(&socket);
     Ok(socket)
 }
--- a/crates/rehearsal/src/faults.rs
+++ b/crates/rehearsal/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out a scenario's schedule of faults.
+//! Injects a scenario's faults on schedule.
 
 use std::time::Duration;
 
@@ -11,24 +11,26 @@
 use crate::scenario::{Fault, FaultAction};
 use crate::standin::platform::PlatformMode;
 
-/// Something to undo later.
+/// A scheduled action that ends a fault or completes it.
 enum Recovery {
     ResumeBalancer(usize),
     ResumeAgent(usize),
     AcceptConnections(usize),
-    PlatformFresh,
-    JoinZones(String, String),
-    DirectTarget(usize),
+    RestorePlatform,
+    ReconnectZones(String, String),
+    RestoreTargetAddress(usize),
     StopAgent(usize),
 }
 
-/// Seconds between the drain of a replaced agent and its planned stop.
+/// Seconds between the drain of a replaced agent and its graceful shutdown.
 const STOP_AFTER_DRAIN: f64 = 3.0;
 
-/// Carries out the schedule until `until`; undoes what is still open then.
+/// Injects the scheduled faults until `until`, then performs all outstanding
+/// recoveries.
 ///
 /// # Errors
-/// When a balancer that the schedule adds cannot be started.
+/// Fails if a balancer or agent cannot be started or a configuration change is
+/// not accepted.
 pub async fn run_schedule(
     fleet: &mut Fleet,
     history: &History,
@@ -51,7 +53,7 @@
         if next_recovery == Some(next) {
             recover(fleet, history, recoveries.remove(0).1);
         } else if let Some(fault) = faults.next() {
-            recoveries.extend(carry_out(fleet, history, fault).await?);
+            recoveries.extend(inject(fleet, history, fault).await?);
         }
     }
     sleep_until(until).await;
@@ -61,13 +63,13 @@
     Ok(())
 }
 
-/// Carries out one fault; returns what must be undone, and when.
-async fn carry_out(
+/// Injects one fault; returns its recovery and when that is due, if any.
+async fn inject(
     fleet: &mut Fleet,
     history: &History,
     fault: Fault,
 ) -> eyre::Result<Option<(Instant, Recovery)>> {
-    history.fault(format!("{:?}", fault.action));
+    history.record_fault(format!("{:?}", fault.action));
     let after = |seconds: f64| Instant::now() + Duration::from_secs_f64(seconds);
     match fault.action {
         FaultAction::KillBalancer(balancer) => {
@@ -87,17 +89,17 @@
             return Ok(Some((after(seconds), Recovery::ResumeBalancer(balancer))));
         }
         FaultAction::DrainTarget(target) => {
-            // With agreement, the drain counts from its acceptance.
+            // If balancers agree on the configuration, the drain starts when it is accepted.
             if !fleet.scenario.agreement {
-                history.drain_began(target);
+                history.record_drain_start(target);
             }
             fleet.set_target_state(target, TargetState::Draining).await?;
             if fleet.scenario.agreement {
-                history.drain_began(target);
+                history.record_drain_start(target);
             }
         }
         FaultAction::ActivateTarget(target) => {
-            history.drain_ended(target);
+            history.record_drain_end(target);
             fleet.set_target_state(target, TargetState::Active).await?;
         }
         FaultAction::KillAgent(target) => {
@@ -105,7 +107,7 @@
             fleet.agents[target].kill().await;
         }
         FaultAction::ReplaceAgent(target) => {
-            fleet.add_agent_beside(target).await?;
+            fleet.add_co_located_agent(target).await?;
             fleet.set_target_state(target, TargetState::Draining).await?;
             return Ok(Some((after(STOP_AFTER_DRAIN), Recovery::StopAgent(target))));
         }
@@ -119,20 +121,20 @@
         }
         FaultAction::MisdirectTarget { target, to, seconds } => {
             fleet.redirect_target(target, to);
-            return Ok(Some((after(seconds), Recovery::DirectTarget(target))));
+            return Ok(Some((after(seconds), Recovery::RestoreTargetAddress(target))));
         }
-        FaultAction::MisleadingReports(target) => fleet.back_ends[target].mislead(),
+        FaultAction::MisleadingReports(target) => fleet.back_ends[target].start_misreporting(),
         FaultAction::PlatformDown { seconds } => {
             fleet.platform.set_mode(PlatformMode::Down);
-            return Ok(Some((after(seconds), Recovery::PlatformFresh)));
+            return Ok(Some((after(seconds), Recovery::RestorePlatform)));
         }
         FaultAction::PlatformStale { seconds } => {
             fleet.platform.set_mode(PlatformMode::Stale);
-            return Ok(Some((after(seconds), Recovery::PlatformFresh)));
+            return Ok(Some((after(seconds), Recovery::RestorePlatform)));
         }
         FaultAction::CutZones { from, to, seconds } => {
             fleet.network.set_cut(&from, &to, true);
-            return Ok(Some((after(seconds), Recovery::JoinZones(from, to))));
+            return Ok(Some((after(seconds), Recovery::ReconnectZones(from, to))));
         }
     }
     Ok(None)
@@ -142,31 +144,31 @@
     match recovery {
         Recovery::ResumeBalancer(balancer) => {
             fleet.balancers[balancer].process.signal(Signal::SIGCONT);
-            history.fault(format!("balancer {balancer} resumes"));
+            history.record_fault(format!("balancer {balancer} resumes"));
         }
         Recovery::ResumeAgent(target) => {
             fleet.agents[target].signal(Signal::SIGCONT);
-            history.fault(format!("agent {target} resumes"));
+            history.record_fault(format!("agent {target} resumes"));
         }
         Recovery::AcceptConnections(target) => {
             fleet.back_ends[target].set_refusing(false);
-            history.fault(format!("back end {target} accepts again"));
+            history.record_fault(format!("back end {target} accepts again"));
         }
-        Recovery::PlatformFresh => {
+        Recovery::RestorePlatform => {
             fleet.platform.set_mode(PlatformMode::Fresh);
-            history.fault("platform serves again".to_owned());
+            history.record_fault("platform serves again".to_owned());
         }
         Recovery::StopAgent(target) => {
             fleet.agents[target].signal(Signal::SIGTERM);
-            history.fault(format!("agent {target} begins its planned stop"));
+            history.record_fault(format!("agent {target} begins its graceful shutdown"));
         }
-        Recovery::DirectTarget(target) => {
+        Recovery::RestoreTargetAddress(target) => {
             fleet.redirect_target(target, target);
-            history.fault(format!("target {target} is reached again"));
+            history.record_fault(format!("target {target} is reachable again"));
         }
-        Recovery::JoinZones(from, to) => {
+        Recovery::ReconnectZones(from, to) => {
             fleet.network.set_cut(&from, &to, false);
-            history.fault(format!("{from} and {to} reach each other again"));
+            history.record_fault(format!("{from} and {to} can reach each other again"));
         }
     }
 }
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet: real balancers and agents behind the stand-ins.
+//! A fleet of real balancer and agent processes, connected to the stand-ins.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -25,38 +25,38 @@
 
 pub use crate::fleet_parts::FleetOptions;
 
-/// One balancer of a fleet.
+/// A balancer process and its entry in the machine list.
 pub struct Balancer {
-    /// The process; dead ones stay in the list so that numbers stay the same.
+    /// The process; exited ones are kept so that balancer numbers stay valid.
     pub process: Process,
     zone: String,
     state: Presence,
 }
 
-/// What the machine list says of a balancer.
+/// Whether the machine list contains a balancer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Presence {
     Listed,
-    Gone,
+    Removed,
 }
 
-/// Real processes and stand-ins, wired up.
+/// Running processes and the stand-ins that connect them.
 pub struct Fleet {
-    /// The scenario that the fleet was built from.
+    /// The scenario that the fleet was started from.
     pub scenario: Scenario,
-    /// The platform.
+    /// The platform that serves the current configuration.
     pub platform: Platform,
-    /// The platform that some balancers read, which lags behind the other.
+    /// A platform behind by the scenario's lag, read by its stale balancers.
     lagging_platform: Platform,
-    /// The fabric.
+    /// The fabric between clients and balancers.
     pub fabric: Fabric,
-    /// The networks.
+    /// The simulated network between all parts.
     pub network: Network,
     /// Back ends by target number.
     pub back_ends: Vec<BackEnd>,
     /// Agents by target number.
     pub agents: Vec<Process>,
-    /// Balancers in the order of their start.
+    /// Balancers in the order in which they were started.
     pub balancers: Vec<Balancer>,
     proxies: Vec<LinkProxy>,
     desired: Arc<Mutex<ConfigDocument>>,
@@ -67,10 +67,10 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until each process is ready.
+    /// Starts all stand-ins and processes and waits until each process is ready.
     ///
     /// # Errors
-    /// Names the part and the step that failed.
+    /// Returns an error that names the part and the step that failed.
     pub async fn start(
         scenario: &Scenario,
         options: &FleetOptions,
@@ -176,17 +176,18 @@
         self.program.start(&name, &arguments).await
     }
 
-    /// Sends what is meant for one target's agent to another's, as when an
-    /// address changes hands; `to` may be the target itself.
+    /// Delivers packets addressed to a target's agent to the agent of `to`, as
+    /// when an address is reassigned. `to` may be the target itself, which
+    /// restores normal delivery.
     pub fn redirect_target(&self, target: usize, to: usize) {
         self.proxies[target].set_target(self.agents[to].addresses.data);
     }
 
-    /// Starts one more balancer, in the next zone in turn. The machine list is
-    /// not changed yet.
+    /// Starts another balancer in the next zone, round-robin, and returns its
+    /// number. Does not publish the machine list.
     ///
     /// # Errors
-    /// When the process does not become ready.
+    /// Fails if the process does not become ready.
     pub async fn start_balancer(&mut self) -> eyre::Result<usize> {
         let number = self.balancers.len();
         let zone = self.zone_for(number);
@@ -196,7 +197,7 @@
         let arguments = self.common_arguments("balancer", &name, &zone, platform);
         let mut arguments = arguments;
         let peers: Vec<String> = self
-            .listed()
+            .listed_balancers()
             .filter_map(|balancer| balancer.process.addresses.control)
             .map(|address| address.to_string())
             .collect();
@@ -212,23 +213,23 @@
         Ok(number)
     }
 
-    /// Takes a balancer off the machine list.
+    /// Removes a balancer from the machine list and publishes it.
     pub fn remove_from_list(&mut self, balancer: usize) {
-        self.balancers[balancer].state = Presence::Gone;
+        self.balancers[balancer].state = Presence::Removed;
         self.publish_machines();
     }
 
-    /// Publishes the machine list; the fabric follows after its lag.
+    /// Publishes the machine list; the fabric uses it after its lag.
     pub fn publish_machines(&self) {
         let members: Vec<FabricMember> = self
-            .listed()
+            .listed_balancers()
             .map(|balancer| FabricMember {
                 address: balancer.process.addresses.data,
                 zone: balancer.zone.clone(),
             })
             .collect();
         let machines = self
-            .listed()
+            .listed_balancers()
             .map(|balancer| Machine {
                 name: balancer.process.name.clone(),
                 zone: balancer.zone.clone(),
@@ -242,27 +243,27 @@
         self.fabric.set_members(members);
     }
 
-    /// The admin addresses of the balancers that are on the machine list.
+    /// Returns the admin addresses of the balancers in the machine list.
     pub fn balancer_admins(&self) -> Vec<SocketAddr> {
-        self.listed().map(|balancer| balancer.process.addresses.admin).collect()
+        self.listed_balancers().map(|balancer| balancer.process.addresses.admin).collect()
     }
 
-    /// The admin addresses of all agents.
+    /// Returns the admin addresses of all agents.
     pub fn agent_admins(&self) -> Vec<SocketAddr> {
         self.agents.iter().map(|agent| agent.addresses.admin).collect()
     }
 
-    /// The admin addresses of all processes, dead ones too.
+    /// Returns the admin addresses of all processes, including exited ones.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         let balancers = self.balancers.iter().map(|balancer| &balancer.process);
         self.agents.iter().chain(balancers).map(|process| process.addresses.admin).collect()
     }
 
-    /// Changes the configuration: through the balancers' API where they agree on
-    /// it, else through the platform.
+    /// Changes the configuration: through the balancers' API if they replicate
+    /// it by consensus, otherwise through the platform.
     ///
     /// # Errors
-    /// When no balancer accepts the change in time.
+    /// Fails if no balancer accepts the change in time.
     pub async fn change_configuration(
         &self,
         change: impl FnOnce(&mut ConfigDocument),
@@ -274,7 +275,7 @@
             desired.clone()
         };
         if self.scenario.agreement {
-            return write_configuration(&self.live_apis(), &document).await;
+            return write_configuration(&self.listed_apis(), &document).await;
         }
         self.platform.publish(document.clone());
         let lagging = self.lagging_platform.clone();
@@ -286,24 +287,26 @@
         Ok(())
     }
 
-    /// The configuration that operators want.
+    /// Returns the desired configuration.
     pub fn desired(&self) -> ConfigDocument {
         self.desired.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn live_apis(&self) -> Vec<SocketAddr> {
-        self.listed().filter_map(|balancer| balancer.process.addresses.api).collect()
+    fn listed_apis(&self) -> Vec<SocketAddr> {
+        self.listed_balancers().filter_map(|balancer| balancer.process.addresses.api).collect()
     }
 
-    fn listed(&self) -> impl Iterator<Item = &Balancer> + Clone {
+    fn listed_balancers(&self) -> impl Iterator<Item = &Balancer> + Clone {
         self.balancers.iter().filter(|balancer| balancer.state == Presence::Listed)
     }
 
-    /// Starts a new agent beside a target's back end, as a further target.
+    /// Starts a second agent for a target's back end as an additional target, and
+    /// returns the new target's number.
     ///
     /// # Errors
-    /// When the process does not become ready.
-    pub async fn add_agent_beside(&mut self, target: usize) -> eyre::Result<usize> {
+    /// Fails if the process does not become ready or the configuration change is
+    /// not accepted.
+    pub async fn add_co_located_agent(&mut self, target: usize) -> eyre::Result<usize> {
         let number = self.agents.len();
         let mut entry = self.desired().targets[target].clone();
         let proxy = LinkProxy::bind().wrap_err("bind link proxy")?;
@@ -324,32 +327,32 @@
         Ok(number)
     }
 
-    /// Changes a target's state.
+    /// Changes a target's state in the configuration.
     ///
     /// # Errors
-    /// When no balancer accepts the change in time.
+    /// Fails if no balancer accepts the change in time.
     pub async fn set_target_state(&self, target: usize, state: TargetState) -> eyre::Result<()> {
         self.change_configuration(|document| document.targets[target].state = state).await
     }
 
-    /// Whether a target's back end takes new flows, through this target or one
-    /// that has replaced it, by the newest configuration.
+    /// Returns whether `document` lets a target's back end accept new flows, through
+    /// this target or one that has replaced it.
     pub fn is_active(document: &ConfigDocument, target: usize) -> bool {
-        let Some(own) = document.targets.get(target) else {
+        let Some(entry) = document.targets.get(target) else {
             return false;
         };
         document
             .targets
             .iter()
-            .any(|other| other.back_end == own.back_end && other.state == TargetState::Active)
+            .any(|other| other.back_end == entry.back_end && other.state == TargetState::Active)
     }
 
-    /// Access to the configuration that operators want, for a sampler's task.
-    pub fn desired_access(&self) -> Arc<Mutex<ConfigDocument>> {
+    /// Returns a shared handle to the desired configuration, for sampler tasks.
+    pub fn desired_handle(&self) -> Arc<Mutex<ConfigDocument>> {
         self.desired.clone()
     }
 
-    /// The services with their back ends, for sampling.
+    /// Returns the services with their back ends, for sampling.
     pub fn sampled_services(&self) -> Vec<SampledService> {
         let mut first = 0;
         let mut services = Vec::new();
@@ -388,7 +391,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // A folder that cannot be removed is left to the system's own cleaning.
+        // If removal fails, the folder remains in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&self.work_folder);
     }
 }
--- a/crates/rehearsal/src/fleet_parts.rs
+++ b/crates/rehearsal/src/fleet_parts.rs
@@ -1,4 +1,5 @@
-//! The parts that a fleet is made of: keys, arguments, document entries, back ends.
+//! Builds the parts of a fleet: keys, command lines, configuration entries and
+//! back-end options.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,44 +14,48 @@
 
 /// Name of the keys file in the fleet's work folder.
 pub(crate) const KEYS_FILE: &str = "keys.toml";
-/// The rehearsal's keys; no secrets, as no real caller or balancer exists.
+/// Fixed keys. They need not be secret, as they protect no real traffic.
 const KEYS: &str = r#"flow_hash = "000102030405060708090a0b0c0d0e0f"
 control = ["000102030405060708090a0b0c0d0e0f000102030405060708090a0b0c0d0e0f"]
 "#;
 
-/// Makes a folder with the keys file in it.
+/// Creates a temporary work folder that contains the keys file.
 pub(crate) fn make_work_folder() -> eyre::Result<PathBuf> {
-    let unique = getrandom::u64().map_err(|error| eyre::eyre!("read random source: {error}"))?;
+    let unique =
+        getrandom::u64().map_err(|error| eyre::eyre!("read the random source: {error}"))?;
     let folder = std::env::temp_dir().join(format!("weirhinge-rehearsal-{unique:016x}"));
-    std::fs::create_dir_all(&folder).wrap_err("make the work folder")?;
+    std::fs::create_dir_all(&folder).wrap_err("create the work folder")?;
     std::fs::write(folder.join(KEYS_FILE), KEYS).wrap_err("write the keys file")?;
     Ok(folder)
 }
 
-/// How a fleet is started.
+/// Options for starting a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Seed of everything random in the stand-ins.
+    /// Random seed of the stand-ins.
     pub seed: u64,
-    /// Targets that agents compare for a new flow.
+    /// Number of targets that agents compare for a new flow.
     pub candidates: u8,
-    /// Folder for the processes' logs, if wanted.
+    /// Folder for the processes' logs; `None` discards them.
     pub logs: Option<PathBuf>,
-    /// Longest that an agent's planned stop waits for its flows; none if it
-    /// waits for the last one, as it must where nothing is planted.
+    /// Maximum time that an agent's graceful shutdown waits for its flows, in
+    /// seconds; `None` waits for the last flow, as required unless a defect is
+    /// planted.
     pub stop_deadline_seconds: Option<u64>,
-    /// Name of a defect planted in every agent; needs a build that has them.
+    /// Name of a defect to enable in every agent; needs the `planted-defects`
+    /// feature in the tested program.
     pub plant: Option<String>,
 }
 
-/// What each process of a fleet is told on its command line.
+/// Command line arguments that every process of a fleet gets.
 pub(crate) struct ProcessArguments<'a> {
     pub(crate) role: &'a str,
     pub(crate) name: &'a str,
     pub(crate) zone: &'a str,
     pub(crate) platform: SocketAddr,
     pub(crate) work_folder: &'a Path,
-    /// Kept logs are read to find out what became of single flows.
+    /// Whether logs are kept. They are then written at debug level, so that
+    /// individual flows can be traced.
     pub(crate) keeps_logs: bool,
 }
 
--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,4 +1,5 @@
-//! What callers and back ends saw, recorded on both sides of the product.
+//! The record of a rehearsal: what clients and back ends observed on either side
+//! of the fleet.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -7,99 +8,102 @@
 
 use hdrhistogram::Histogram;
 
-/// Identifies one request over the whole rehearsal.
+/// Identifies one request within a rehearsal.
 pub type RequestId = u64;
 
-/// Largest latency that is told apart, in microseconds.
-const LARGEST_LATENCY: u64 = 120_000_000;
+/// Highest latency that the histogram distinguishes, in microseconds.
+const MAX_LATENCY_MICROS: u64 = 120_000_000;
 
-/// Which side broke a flow, as the caller saw it.
+/// A flow that broke while in use, as the client observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenFlow {
     /// Time since the start of the load.
     pub at: Duration,
     /// What the flow carried.
     pub kind: FlowKind,
-    /// The caller's address, none if it had not opened a connection.
-    pub caller: Option<SocketAddr>,
-    /// The request under way, if there was one.
+    /// The client's address; `None` if it had not opened a connection.
+    pub client: Option<SocketAddr>,
+    /// The request in progress, if any.
     pub request: Option<RequestId>,
-    /// What the caller saw.
+    /// The error that the client observed.
     pub reason: String,
 }
 
 /// What a flow carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FlowKind {
-    /// A standing feed.
+    /// A long-lived stream of updates.
     Feed,
     /// One request.
     Single,
-    /// Several requests, one after another.
+    /// Several sequential requests.
     Kept,
 }
 
-/// One use of a target by the operator: it should take no new flow in it.
+/// A period in which a target was draining and should accept no new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Drain {
     /// The draining target.
     pub target: usize,
-    /// When the configuration said so.
+    /// When the drain was configured.
     pub from: Instant,
-    /// When the configuration took it back, if it did.
+    /// When the target was made active again, if it was.
     pub until: Option<Instant>,
 }
 
-/// Everything recorded.
+/// Everything that is recorded during a rehearsal.
 #[derive(Debug)]
 pub struct Record {
     /// Start of the load.
     pub started: Instant,
-    /// Flows that callers opened.
+    /// Number of flows that clients opened.
     pub flows_opened: u64,
-    /// Flows that callers failed to open: when, and what the caller saw.
+    /// Flows that clients failed to open: the time since the start of the load
+    /// and the error.
     pub refused: Vec<(Duration, String)>,
     /// Flows that broke while in use.
     pub broken: Vec<BrokenFlow>,
-    /// Feed updates received.
+    /// Number of feed updates received.
     pub feed_updates: u64,
-    /// Requests answered whole.
+    /// Number of requests with a complete answer.
     pub answered: u64,
-    /// Requests whose fate the caller does not know.
-    pub unknown: u64,
-    /// Latency of answered requests from their intended start, in microseconds.
+    /// Number of requests whose outcome the client does not know.
+    pub unknown_outcomes: u64,
+    /// Latency of answered requests, measured from their scheduled start, in
+    /// microseconds.
     pub latencies: Histogram<u64>,
-    /// How often each request ran at a back end.
+    /// Number of times that back ends ran each request.
     pub runs: HashMap<RequestId, u32>,
-    /// Requests that a caller was told did not run.
-    pub told_not_run: HashSet<RequestId>,
-    /// Requests that arrived at a back end of another service.
+    /// Requests that were reported to their client as not run.
+    pub reported_not_run: HashSet<RequestId>,
+    /// Number of requests that arrived at a back end of another service.
     pub misrouted: u64,
-    /// Answers that belonged to another request or were damaged.
-    pub crossed: u64,
-    /// Connections that each target accepted.
+    /// Number of answers that belonged to another request or were corrupted.
+    pub wrong_answers: u64,
+    /// Accepted connections: time and target.
     pub accepted: Vec<(Instant, usize)>,
-    /// Targets that accepted a connection for each caller.
+    /// Targets that accepted a connection of each client.
     pub holders: HashMap<SocketAddr, Vec<usize>>,
-    /// Drains in the order in which they began.
+    /// Drains in the order of their start.
     pub drains: Vec<Drain>,
-    /// Agents killed: target and time.
+    /// Killed agents: target and time.
     pub killed_agents: Vec<(usize, Instant)>,
-    /// Faults as they were carried out, for the report.
+    /// Injected faults, for the report: time since the start of the load and
+    /// description.
     pub faults: Vec<(Duration, String)>,
 }
 
-/// A record that many tasks write to. Cheap to clone.
+/// A shared record that many tasks write to. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct History {
     record: Arc<Mutex<Record>>,
 }
 
 impl History {
-    /// An empty record that starts now.
+    /// Creates an empty record that starts now.
     ///
     /// # Errors
-    /// When the latency histogram cannot be made.
+    /// Fails if the latency histogram cannot be created.
     pub fn new() -> eyre::Result<Self> {
         let record = Record {
             started: Instant::now(),
@@ -108,12 +112,12 @@
             broken: Vec::new(),
             feed_updates: 0,
             answered: 0,
-            unknown: 0,
-            latencies: Histogram::new_with_bounds(1, LARGEST_LATENCY, 3)?,
+            unknown_outcomes: 0,
+            latencies: Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, 3)?,
             runs: HashMap::new(),
-            told_not_run: HashSet::new(),
+            reported_not_run: HashSet::new(),
             misrouted: 0,
-            crossed: 0,
+            wrong_answers: 0,
             accepted: Vec::new(),
             holders: HashMap::new(),
             drains: Vec::new(),
@@ -123,73 +127,73 @@
         Ok(Self { record: Arc::new(Mutex::new(record)) })
     }
 
-    /// Access to the whole record.
+    /// Locks the record for reading and writing.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A caller's request was answered whole, this long after its intended start.
-    pub fn answered(&self, latency: Duration) {
+    /// Records a complete answer, `latency` after the request's scheduled start.
+    pub fn record_answer(&self, latency: Duration) {
         let mut record = self.lock();
         record.answered += 1;
-        let microseconds = u64::try_from(latency.as_micros()).unwrap_or(LARGEST_LATENCY);
+        let microseconds = u64::try_from(latency.as_micros()).unwrap_or(MAX_LATENCY_MICROS);
         record.latencies.saturating_record(microseconds.max(1));
     }
 
-    /// A flow could not be opened.
-    pub fn refused(&self, reason: String) {
+    /// Records a flow that could not be opened.
+    pub fn record_refusal(&self, reason: String) {
         let mut record = self.lock();
         let at = record.started.elapsed();
         record.refused.push((at, reason));
     }
 
-    /// A flow broke while in use.
-    pub fn broken(
+    /// Records a flow that broke while in use.
+    pub fn record_broken_flow(
         &self,
         kind: FlowKind,
-        caller: Option<SocketAddr>,
+        client: Option<SocketAddr>,
         request: Option<RequestId>,
         reason: impl ToString,
     ) {
         let mut record = self.lock();
         let at = record.started.elapsed();
-        record.broken.push(BrokenFlow { at, kind, caller, request, reason: reason.to_string() });
+        record.broken.push(BrokenFlow { at, kind, client, request, reason: reason.to_string() });
     }
 
-    /// A back end began to run a request.
-    pub fn ran(&self, request: RequestId) {
+    /// Records that a back end began to run a request.
+    pub fn record_run(&self, request: RequestId) {
         *self.lock().runs.entry(request).or_insert(0) += 1;
     }
 
-    /// A caller was told that its request did not run.
-    pub fn told_not_run(&self, request: RequestId) {
-        self.lock().told_not_run.insert(request);
+    /// Records that a request was reported to its client as not run.
+    pub fn record_not_run(&self, request: RequestId) {
+        self.lock().reported_not_run.insert(request);
     }
 
-    /// A back end accepted a connection for a caller.
-    pub fn accepted(&self, target: usize, caller: SocketAddr) {
+    /// Records a connection that a back end accepted for a client.
+    pub fn record_accepted(&self, target: usize, client: SocketAddr) {
         let mut record = self.lock();
         record.accepted.push((Instant::now(), target));
-        record.holders.entry(caller).or_default().push(target);
+        record.holders.entry(client).or_default().push(target);
     }
 
-    /// The configuration began to say that a target drains.
-    pub fn drain_began(&self, target: usize) {
+    /// Records the start of a target's drain.
+    pub fn record_drain_start(&self, target: usize) {
         let drain = Drain { target, from: Instant::now(), until: None };
         self.lock().drains.push(drain);
     }
 
-    /// The configuration made a target active again.
-    pub fn drain_ended(&self, target: usize) {
+    /// Records that a target was made active again.
+    pub fn record_drain_end(&self, target: usize) {
         let mut record = self.lock();
-        let open = |drain: &&mut Drain| drain.target == target && drain.until.is_none();
-        if let Some(drain) = record.drains.iter_mut().find(open) {
+        let is_open = |drain: &&mut Drain| drain.target == target && drain.until.is_none();
+        if let Some(drain) = record.drains.iter_mut().find(is_open) {
             drain.until = Some(Instant::now());
         }
     }
 
-    /// A fault was carried out.
-    pub fn fault(&self, description: String) {
+    /// Records an injected fault or its end.
+    pub fn record_fault(&self, description: String) {
         let mut record = self.lock();
         let at = record.started.elapsed();
         record.faults.push((at, description));
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,8 +1,10 @@
-//! The rehearsal kit: real processes of the product behind stand-ins of the
-//! systems around it, a load, a schedule of faults, and a check of each promise.
+//! End-to-end tests of a whole fleet: real balancer and agent processes,
+//! stand-ins for the systems around them, a generated load, a schedule of
+//! faults, and a check of each promise.
 //!
-//! [`scenario`] describes a rehearsal, [`run`] carries it out, [`history`]
-//! records what callers and back ends saw, and [`verdict`] judges it.
+//! [`scenario`] describes a rehearsal, [`run`] executes it, [`history`]
+//! records what clients and back ends observed, and [`verdict`] evaluates the
+//! record.
 
 pub mod agreement;
 pub mod bench;
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,4 +1,4 @@
-//! The `rehearse` program.
+//! The `rehearse` program: runs rehearsals, simulations and measurements.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 use weirhinge_soak::run::Faults;
 
 const HELP: &str = "\
-rehearse: try the load balancer under a load and a schedule of faults
+rehearse: test the load balancer under load and a schedule of faults
 
 USAGE:
   rehearse run SCENARIO [OPTIONS]   Run a shipped scenario or a scenario file
@@ -24,31 +24,31 @@
   rehearse check FILE               Check a scenario file
   rehearse bench [OPTIONS]          Compare the balancer with a bare UDP relay
   rehearse simulate [OPTIONS]       Compare policies and schemes in simulated time
-  rehearse agreement                Measure writes to the configuration and leaders' deaths
-  rehearse soak [OPTIONS]           Run the relay under faults that a seed draws
+  rehearse agreement                Measure configuration writes and outages after leader failures
+  rehearse soak [OPTIONS]           Run the relay under random faults drawn from a seed
 
 OPTIONS OF run:
-  --seconds N      Length of the load  [default: the scenario's]
-  --seed S         Seed of everything random in the stand-ins  [default: 1]
+  --seconds N      Duration of the load  [default: the scenario's]
+  --seed S         Random seed of the stand-ins  [default: 1]
   --candidates N   Targets that agents compare per new flow  [default: 3]
-  --logs FOLDER    Keep the processes' logs in FOLDER, each decision about a flow among them
-  --plant NAME     Plant a defect in every agent (needs a build with planted-defects)
+  --logs FOLDER    Write the processes' logs to FOLDER, with each decision about a flow
+  --plant NAME     Enable a planted defect in every agent (needs the planted-defects feature)
   --json           Print the verdict as one JSON object on the last line
 
 OPTIONS OF simulate:
   --load SHARE     Offered load as a share of all slots  [default: 0.7]
-  --seed S         Seed of everything random  [default: 1]
+  --seed S         Random seed  [default: 1]
 
 OPTIONS OF bench:
   --rounds N       Rounds of relay, unbatched and batched balancer  [default: 5]
-  --seconds N      Length of each measurement  [default: 2]
+  --seconds N      Duration of each measurement  [default: 2]
 
 OPTIONS OF soak:
-  --seed S         Seed of the faults  [default: drawn, and printed]
-  --seconds N      About how long to soak  [default: 120]
-  --scale N        Times three balancers and five targets, 1 to 25  [default: 1]
-  --series         Faults overlap, also of the store's and the targets' own lives
-  --crowds         Crowds of callers come, at targets that may be slow
+  --seed S         Seed of the faults  [default: random, printed at the start]
+  --seconds N      Approximate duration  [default: 120]
+  --scale N        Multiple of three balancers and five targets, 1 to 25  [default: 1]
+  --series         Faults overlap and include restarts of the store and the targets
+  --crowds         Bursts of clients arrive while targets may be slow
 
 EXIT CODES:
   0  every promise held
@@ -118,7 +118,7 @@
             return Ok(ExitCode::from(EXIT_FAILED));
         }
     };
-    println!("packets a second        relay   unbatched     batched");
+    println!("packets per second      relay   unbatched     batched");
     for round in &result.rounds {
         let ForwardingRound { relay, unbatched, batched } = round;
         println!("                 {relay:>12.0}{unbatched:>12.0}{batched:>12.0}");
@@ -139,7 +139,8 @@
     Policy::HashOnly,
 ];
 
-/// Seven targets of seven slots and 200 ms, as Bluebonnet's approvals.
+/// Simulates seven targets with seven slots and 200 ms service time each, like
+/// the approvals service of the bluebonnet scenario.
 fn simulate_policies(mut arguments: Arguments) -> Result<ExitCode, String> {
     let simulation = Simulation {
         targets: 7,
@@ -175,16 +176,16 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The ways of finding a holder that are compared.
+/// The schemes for finding a flow's holder that are compared.
 const SCHEMES: [Scheme; 4] =
     [Scheme::HashOnly, Scheme::OnePreviousOwner, Scheme::Directory, Scheme::Hint];
-/// Changes of configuration that are simulated.
+/// Number of simulated configuration changes.
 const CHANGES: u64 = 10_000;
 
-/// Writes, and deaths of leaders, that are measured.
-const AGREEMENT: (usize, usize) = (40, 4);
+/// Number of writes and of leader failures that are measured.
+const AGREEMENT_COUNTS: (usize, usize) = (40, 4);
 
-/// About how long one episode of a soak takes.
+/// Approximate duration of one soak episode.
 const EPISODE_SECONDS: u64 = 10;
 
 fn soak(mut arguments: Arguments) -> Result<ExitCode, String> {
@@ -197,8 +198,9 @@
     if !(1..=largest).contains(&scale) {
         return Err(format!("argument --scale: found {scale}, expected 1 to {largest}"));
     }
-    let (in_series, in_crowds) = (arguments.contains("--series"), arguments.contains("--crowds"));
-    let faults = match (in_series, in_crowds) {
+    let (with_series, with_crowds) =
+        (arguments.contains("--series"), arguments.contains("--crowds"));
+    let faults = match (with_series, with_crowds) {
         (false, false) => Faults::Together,
         (true, false) => Faults::Series,
         (false, true) => Faults::Crowds,
@@ -216,7 +218,7 @@
             }
         }
         let broken = report.violations.len();
-        eyre::ensure!(broken == 0, "{broken} promises broken with seed {seed}");
+        eyre::ensure!(broken == 0, "{broken} promise violations with seed {seed}");
         println!("every promise held");
         Ok(())
     }))
@@ -237,8 +239,8 @@
 }
 
 async fn print_agreement() -> eyre::Result<()> {
-    let (writes, deaths) = AGREEMENT;
-    let result = measure_agreement(writes, deaths).await?;
+    let (writes, leader_kills) = AGREEMENT_COUNTS;
+    let result = measure_agreement(writes, leader_kills).await?;
     println!("{}", serde_json::to_string(&result)?);
     Ok(())
 }
@@ -253,7 +255,7 @@
     let name: String =
         arguments.free_from_str().map_err(|_| format!("no scenario given\n\n{HELP}"))?;
     if let Some(unknown) = arguments.finish().first() {
-        return Err(format!("argument {:?}: not known, see --help", unknown.to_string_lossy()));
+        return Err(format!("unknown argument {:?}, see --help", unknown.to_string_lossy()));
     }
     let mut scenario = Scenario::load(&name).map_err(|error| error.to_string())?;
     if let Some(seconds) = seconds {
--- a/crates/rehearsal/src/processes.rs
+++ b/crates/rehearsal/src/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and stops real processes of the product.
+//! Starts and stops balancer and agent processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,10 +12,10 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Longest wait for a process to say that it is ready.
+/// Time within which a process must report that it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where the product's program is.
+/// The `weirhinge` executable and the folder for its logs.
 #[derive(Clone, Debug)]
 pub struct Program {
     path: PathBuf,
@@ -27,53 +27,55 @@
     ready: ReadyAddresses,
 }
 
-/// The addresses that a process reports when it is ready.
+/// Addresses that a process prints once it is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct ReadyAddresses {
     /// UDP address of the data path.
     pub data: SocketAddr,
-    /// TCP address of health and metrics.
+    /// TCP address of the health and metrics endpoints.
     pub admin: SocketAddr,
-    /// TCP address for other balancers; none for agents.
+    /// TCP address for other balancers; `None` for agents.
     #[serde(default)]
     pub control: Option<SocketAddr>,
-    /// TCP address of the resource API; none for agents.
+    /// TCP address of the resource API; `None` for agents.
     #[serde(default)]
     pub api: Option<SocketAddr>,
 }
 
-/// One running process; killed when dropped.
+/// A child process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// The process's name, for messages.
+    /// Name used in error messages and the log file name.
     pub name: String,
-    /// Where it can be reached.
+    /// Addresses that the process listens on.
     pub addresses: ReadyAddresses,
     child: Child,
 }
 
 impl Program {
-    /// Finds the program beside this one. Logs of its processes go to files in
-    /// `logs`, or nowhere.
+    /// Finds the `weirhinge` executable next to the current one. Its processes
+    /// log to files in `logs`; without a folder their logs are discarded.
     ///
     /// # Errors
-    /// When it is not there, with the command that builds it.
+    /// Fails if the executable does not exist, naming the command that builds it,
+    /// or if the log folder cannot be created.
     pub fn find(logs: Option<PathBuf>) -> eyre::Result<Self> {
-        let own = std::env::current_exe().wrap_err("find this program's own path")?;
-        let folder = own.parent().unwrap_or(Path::new("."));
-        // Test programs lie one folder below the others.
+        let current =
+            std::env::current_exe().wrap_err("find the path of the current executable")?;
+        let folder = current.parent().unwrap_or(Path::new("."));
+        // Cargo puts test executables one folder below the others.
         let candidates = [folder.join("weirhinge"), folder.join("../weirhinge")];
         let path = candidates.into_iter().find(|path| path.is_file()).ok_or_else(|| {
-            eyre!("the program weirhinge is not beside {}: run cargo build first", own.display())
+            eyre!("no weirhinge executable next to {}: run cargo build first", current.display())
         })?;
         if let Some(folder) = &logs {
             std::fs::create_dir_all(folder)
-                .wrap_err_with(|| format!("make the folder {}", folder.display()))?;
+                .wrap_err_with(|| format!("create the log folder {}", folder.display()))?;
         }
         Ok(Self { path, logs })
     }
 
-    /// Where it is.
+    /// Returns the path of the executable.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -81,7 +83,7 @@
     /// Starts a process and waits until it is ready.
     ///
     /// # Errors
-    /// Names the process and the step that failed.
+    /// Returns an error that names the process and the step that failed.
     pub async fn start(&self, name: &str, arguments: &[String]) -> eyre::Result<Process> {
         let mut child = Command::new(&self.path)
             .args(arguments)
@@ -97,7 +99,7 @@
             .await
             .wrap_err_with(|| format!("wait for {name} to be ready"))?
             .wrap_err_with(|| format!("read output of {name}"))?
-            .ok_or_else(|| eyre!("{name} ended before it was ready"))?;
+            .ok_or_else(|| eyre!("{name} exited before it was ready"))?;
         let ready: ReadyLine = serde_json::from_str(&line)
             .wrap_err_with(|| format!("read the ready line of {name}: {line:?}"))?;
         Ok(Process { name: name.to_owned(), addresses: ready.ready, child })
@@ -115,37 +117,37 @@
 }
 
 impl Process {
-    /// Sends a signal to this process, if it still runs.
+    /// Sends a signal to the process if it is still running.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.child.id()
             && let Ok(id) = i32::try_from(id)
         {
-            // The process may end between the two steps; then there is nothing to signal.
+            // The process may exit between the two steps; then there is nothing to signal.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Whether the process has ended.
-    pub fn has_ended(&mut self) -> bool {
+    /// Returns whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Kills the process without warning.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub async fn kill(&mut self) {
-        // An error means that it has ended already.
+        // An error means that the process has already exited.
         let _ = self.child.kill().await;
     }
 
-    /// Begins a planned stop and waits for the end.
+    /// Requests a graceful shutdown (SIGTERM) and waits for the exit.
     ///
     /// # Errors
-    /// When the process does not end in time or ends with a failure.
-    pub async fn stop(&mut self, limit: Duration) -> eyre::Result<()> {
+    /// Fails if the process does not exit within `timeout` or exits with a failure.
+    pub async fn stop(&mut self, timeout: Duration) -> eyre::Result<()> {
         self.signal(Signal::SIGTERM);
-        let status = tokio::time::timeout(limit, self.child.wait())
+        let status = tokio::time::timeout(timeout, self.child.wait())
             .await
             .wrap_err_with(|| format!("wait for {} to stop", self.name))?
             .wrap_err_with(|| format!("wait for {} to stop", self.name))?;
-        if status.success() { Ok(()) } else { Err(eyre!("{} ended with {status}", self.name)) }
+        if status.success() { Ok(()) } else { Err(eyre!("{} exited with {status}", self.name)) }
     }
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,10 +1,10 @@
-//! Prints a verdict for people.
+//! Formats a verdict as readable text.
 
 use std::fmt::Write;
 
 use crate::verdict::Verdict;
 
-/// A short table of a verdict.
+/// Formats a verdict as a short table.
 pub fn table(name: &str, verdict: &Verdict) -> String {
     let mut text = String::new();
     let mut line = |label: &str, value: String| {
@@ -16,7 +16,7 @@
     line("flows lost with a killed agent", verdict.flows_lost_with_machine.to_string());
     line("feed updates", verdict.feed_updates.to_string());
     line("requests answered", verdict.requests_answered.to_string());
-    line("requests told not run", verdict.requests_not_run.to_string());
+    line("requests reported as not run", verdict.requests_not_run.to_string());
     line("latency p50 / p99", format!("{} / {} ms", verdict.p50_ms, verdict.p99_ms));
     for (service, median) in &verdict.imbalance {
         let p99 = verdict.imbalance_p99.get(service).copied().unwrap_or_default();
--- a/crates/rehearsal/src/sampler.rs
+++ b/crates/rehearsal/src/sampler.rs
@@ -1,4 +1,4 @@
-//! Samples slots in use and works out imbalance over windows of one second.
+//! Samples slots in use and computes load imbalance over windows of one second.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,21 +8,21 @@
 
 use crate::standin::back_end::BackEnd;
 
-/// Time between two samples.
+/// Interval between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
-/// Samples in one window of a second.
+/// Number of samples in a window of one second.
 const SAMPLES_PER_WINDOW: u32 = 100;
 
-/// The targets of one service.
+/// The back ends of one service.
 #[derive(Clone)]
 pub struct SampledService {
     /// Name of the service.
     pub name: String,
-    /// The service's back ends with their numbers over all services.
+    /// The service's back ends with their target numbers.
     pub back_ends: Vec<(usize, BackEnd)>,
 }
 
-/// Mean slots in use of each target over one window.
+/// Mean number of slots in use per target over one window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Window {
     /// Mean per target, in the order of [`SampledService::back_ends`].
@@ -32,8 +32,8 @@
 }
 
 impl Window {
-    /// The busiest target's mean over the mean of the active targets; none when
-    /// they were idle.
+    /// Returns the ratio of the busiest target's mean to the mean of the active
+    /// targets, or `None` if those were idle.
     pub fn imbalance(&self) -> Option<f64> {
         let active: Vec<f64> = self
             .means
@@ -47,34 +47,34 @@
     }
 }
 
-/// Imbalance of one service over all windows.
+/// Imbalance of one service across all windows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Imbalance {
-    /// Median over the windows.
+    /// Median of the windows.
     pub median: f64,
-    /// 99th percentile over the windows.
+    /// 99th percentile of the windows.
     pub p99: f64,
 }
 
-/// Works out imbalance over windows; none without a busy window.
+/// Computes the imbalance across windows; `None` if every window was idle.
 pub fn imbalance(windows: &[Window]) -> Option<Imbalance> {
     let mut values: Vec<f64> = windows.iter().filter_map(Window::imbalance).collect();
     values.sort_by(f64::total_cmp);
     Some(Imbalance { median: percentile(&values, 0.5)?, p99: percentile(&values, 0.99)? })
 }
 
-/// The value below which the share `rank` of sorted values lies.
+/// Returns the value at `rank` (0 to 1) of sorted values, by the nearest-rank method.
 pub fn percentile(sorted: &[f64], rank: f64) -> Option<f64> {
-    let place = (rank * sorted.len() as f64).ceil() as usize;
-    sorted.get(place.saturating_sub(1)).copied()
+    let position = (rank * sorted.len() as f64).ceil() as usize;
+    sorted.get(position.saturating_sub(1)).copied()
 }
 
-/// Samples one service until `ending` is set, and returns its whole windows.
-/// `is_active` tells whether a target takes new flows at this moment.
+/// Samples one service until `stop` is set and returns its complete windows.
+/// `is_active` returns whether a target currently accepts new flows.
 pub async fn sample(
     service: SampledService,
     is_active: impl Fn(usize) -> bool,
-    ending: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 ) -> Vec<Window> {
     let count = service.back_ends.len();
     let mut windows = Vec::new();
@@ -82,7 +82,7 @@
     let mut sums = vec![0.0; count];
     let mut active = vec![true; count];
     let mut samples = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         ticks.tick().await;
         for (index, (target, back_end)) in service.back_ends.iter().enumerate() {
             sums[index] += f64::from(back_end.slots_in_use());
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal consists of, as a checked TOML file.
+//! The description of a rehearsal: a TOML file that is validated when loaded.
 
 use std::net::IpAddr;
 
@@ -6,7 +6,7 @@
 use weirhinge_config::ConfigError;
 use weirhinge_config::parse;
 
-/// The scenarios that ship with the kit, by name.
+/// The scenarios that are compiled in, by name.
 const SHIPPED: [(&str, &str); 4] = [
     ("bluebonnet", include_str!("../scenarios/bluebonnet.toml")),
     ("chakula", include_str!("../scenarios/chakula.toml")),
@@ -14,67 +14,67 @@
     ("chakula-night", include_str!("../scenarios/chakula-night.toml")),
 ];
 
-/// A rehearsal.
+/// A fleet, its network, the load on it and the faults injected into it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What the scenario rehearses, for people.
+    /// Human-readable summary, printed by `rehearse list`.
     pub description: String,
-    /// How long the load lasts, in seconds.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
-    /// Zones that machines run in.
+    /// Names of the zones that machines run in.
     pub zones: Vec<String>,
-    /// Number of balancers, spread over the zones in turn.
+    /// Number of balancers, distributed round-robin over the zones.
     pub balancers: usize,
-    /// Whether balancers agree on the configuration; changes then go through
-    /// their API instead of the platform.
+    /// Whether balancers replicate the configuration by consensus; changes then
+    /// go through their API instead of the platform.
     #[serde(default)]
     pub agreement: bool,
-    /// How many of the first balancers read a platform that lags.
+    /// Number of balancers, counted from the first, that read a lagging platform.
     #[serde(default)]
     pub stale_balancers: usize,
-    /// How far that platform lags, in milliseconds.
+    /// Lag of that platform, in milliseconds.
     #[serde(default)]
     pub stale_lag_ms: u64,
-    /// What the networks do to packets.
+    /// Delays, loss and reordering on the networks.
     pub network: Network,
     /// The services under load.
     pub services: Vec<ServiceScenario>,
-    /// What goes wrong, and when.
+    /// Schedule of injected faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// Delays and damage on the networks.
+/// Delay, loss, duplication and reordering on the networks.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// One-way delay between callers and machines, in milliseconds.
+    /// One-way delay between clients and machines, in milliseconds.
     pub client_delay_ms: f64,
     /// One-way delay between zones, in milliseconds.
     pub zone_delay_ms: f64,
-    /// Share of packets lost between callers and machines, each way.
+    /// Share of packets lost between clients and machines, in each direction.
     #[serde(default)]
     pub client_loss: f64,
     /// Share of packets lost between machines.
     #[serde(default)]
     pub zone_loss: f64,
-    /// Share of packets that arrive twice.
+    /// Share of packets that are duplicated.
     #[serde(default)]
     pub duplicate: f64,
-    /// Share of packets delayed further, so that later ones overtake them.
+    /// Share of packets with an additional delay, so that later ones overtake them.
     #[serde(default)]
     pub reorder: f64,
-    /// Longest such further delay, in milliseconds.
+    /// Maximum additional delay, in milliseconds.
     #[serde(default)]
     pub reorder_delay_ms: f64,
-    /// Share of packets of which a copy arrives long after the first.
+    /// Share of packets of which a copy arrives long after the original.
     #[serde(default)]
     pub late_copy: f64,
-    /// Longest delay of such a copy, in milliseconds.
+    /// Maximum delay of such a copy, in milliseconds.
     #[serde(default)]
     pub late_copy_delay_ms: f64,
-    /// How long the fabric takes to learn of a balancer's coming or going.
+    /// Time until the fabric uses a changed machine list, in milliseconds.
     pub fabric_lag_ms: u64,
 }
 
@@ -84,34 +84,35 @@
 pub struct ServiceScenario {
     /// Name of the service.
     pub name: String,
-    /// Address that callers use.
+    /// Address that clients connect to.
     pub address: IpAddr,
-    /// Port that callers use.
+    /// Port that clients connect to.
     pub port: u16,
-    /// Number of targets, spread over the zones in turn.
+    /// Number of targets, distributed round-robin over the zones.
     pub targets: usize,
-    /// Slots of each target.
+    /// Requests that each target processes concurrently.
     pub slots: u32,
-    /// Connections of each target.
+    /// Connection limit of each target.
     pub connections: u32,
-    /// Mean of a request's exponential service time, in milliseconds.
+    /// Mean of the exponentially distributed service time, in milliseconds.
     pub service_ms: f64,
     /// Offered load as a share of all slots.
     pub load: f64,
-    /// Standing feeds.
+    /// Number of feeds: long-lived flows on which the back end streams updates.
     #[serde(default)]
     pub feeds: usize,
-    /// Milliseconds between two updates of a feed.
+    /// Interval between two updates of a feed, in milliseconds.
     #[serde(default = "default_feed_interval")]
     pub feed_interval_ms: u64,
-    /// Share of the requests that come over kept flows, several on each.
+    /// Share of the requests that are sent on kept flows, which carry several
+    /// requests each.
     #[serde(default)]
     pub kept_flow_share: f64,
-    /// Share of callers whose TCP has no timestamps, so that their packets carry
-    /// no holder hint.
+    /// Share of clients without TCP timestamps, whose packets therefore carry no
+    /// holder hint.
     #[serde(default)]
     pub plain_caller_share: f64,
-    /// Bytes of an answer.
+    /// Length of an answer's body, in bytes.
     #[serde(default = "default_answer_bytes")]
     pub answer_bytes: usize,
 }
@@ -124,100 +125,103 @@
     256
 }
 
-/// One fault of the schedule.
+/// One scheduled fault.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// Seconds from the start of the load.
     pub at: f64,
-    /// What happens.
+    /// The action.
     pub action: FaultAction,
 }
 
-/// What a fault does. Balancers and targets are numbered from 0 in the order
-/// in which they were started; targets count over all services.
+/// The action of a fault. Balancers and targets are numbered from 0 in the order
+/// in which they were started; target numbers run across all services.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultAction {
-    /// Kills a balancer without warning.
+    /// Kills a balancer with SIGKILL.
     KillBalancer(usize),
-    /// Stops a balancer as planned: leaving in the list, then SIGTERM.
+    /// Stops a balancer gracefully: removes it from the machine list, then sends
+    /// SIGTERM.
     StopBalancer(usize),
     /// Starts one more balancer.
     AddBalancer,
-    /// Freezes a balancer for some seconds.
+    /// Suspends a balancer (SIGSTOP) for some seconds.
     PauseBalancer {
         /// The balancer.
         balancer: usize,
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
     /// Marks a target as draining in the configuration.
     DrainTarget(usize),
     /// Marks a target as active again.
     ActivateTarget(usize),
-    /// Kills a target's agent without warning: its flows are lost.
+    /// Kills a target's agent with SIGKILL: its flows are lost.
     KillAgent(usize),
-    /// Upgrades a target's agent: starts a new agent beside it as a further
-    /// target, drains the old target, and stops the old agent as planned.
+    /// Upgrades a target's agent: starts a second agent for the same back end as
+    /// an additional target, drains the old target, and stops the old agent
+    /// gracefully.
     ReplaceAgent(usize),
-    /// Freezes a target's agent for some seconds.
+    /// Suspends a target's agent (SIGSTOP) for some seconds.
     PauseAgent {
         /// The target.
         target: usize,
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// Sends what is meant for a target's agent to another target's for some
-    /// seconds, as when its address changes hands.
+    /// Delivers packets addressed to a target's agent to another target's agent
+    /// for some seconds, as when an address is reassigned.
     MisdirectTarget {
         /// The target.
         target: usize,
-        /// The target whose agent gets the packets.
+        /// The target whose agent receives the packets.
         to: usize,
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
     /// Makes a target's back end refuse connections for some seconds.
     RefuseConnections {
         /// The target.
         target: usize,
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// Lets a target's load and health endpoints lie from now on.
+    /// Makes a target's load and health endpoints report an idle, healthy back
+    /// end from now on.
     MisleadingReports(usize),
-    /// The platform answers nothing for some seconds.
+    /// Makes the platform close connections unanswered for some seconds.
     PlatformDown {
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// The platform serves its first document for some seconds.
+    /// Makes the platform serve its first document for some seconds.
     PlatformStale {
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
-    /// Two zones cannot reach each other for some seconds.
+    /// Partitions two zones from each other for some seconds.
     CutZones {
         /// One zone.
         from: String,
         /// The other zone.
         to: String,
-        /// How long.
+        /// Duration, in seconds.
         seconds: f64,
     },
 }
 
 impl Scenario {
-    /// Names of the shipped scenarios.
+    /// Returns the names of the compiled-in scenarios.
     pub fn shipped() -> impl Iterator<Item = &'static str> {
         SHIPPED.iter().map(|&(name, _)| name)
     }
 
-    /// Loads a shipped scenario by name, or a file by path.
+    /// Loads a compiled-in scenario by name, or else the file at that path.
     ///
     /// # Errors
-    /// Names the file, the field and the reason.
+    /// Returns an error that names the file, the field and the reason.
     pub fn load(name: &str) -> Result<Self, ConfigError> {
         let shipped = SHIPPED.iter().find(|&&(shipped, _)| shipped == name);
         match shipped {
@@ -226,26 +230,26 @@
         }
     }
 
-    /// Reads and checks a scenario.
+    /// Parses and validates a scenario; `file` is its name in errors.
     ///
     /// # Errors
-    /// Names the file, the field and the reason.
+    /// Returns an error that names the file, the field and the reason.
     pub fn from_toml(file: &str, text: &str) -> Result<Self, ConfigError> {
         let scenario: Self = parse::from_toml(file, text)?;
         scenario.check(file)?;
         Ok(scenario)
     }
 
-    /// Number of targets over all services.
+    /// Returns the number of targets across all services.
     pub fn target_count(&self) -> usize {
         self.services.iter().map(|service| service.targets).sum()
     }
 
     fn check(&self, file: &str) -> Result<(), ConfigError> {
-        at_least(file, "seconds", self.seconds as usize, 1)?;
-        at_least(file, "zones", self.zones.len(), 1)?;
-        at_least(file, "balancers", self.balancers, 1)?;
-        at_least(file, "services", self.services.len(), 1)?;
+        check_at_least(file, "seconds", self.seconds as usize, 1)?;
+        check_at_least(file, "zones", self.zones.len(), 1)?;
+        check_at_least(file, "balancers", self.balancers, 1)?;
+        check_at_least(file, "services", self.services.len(), 1)?;
         self.check_network(file)?;
         for (index, service) in self.services.iter().enumerate() {
             check_service(file, index, service)?;
@@ -258,20 +262,20 @@
 
     fn check_network(&self, file: &str) -> Result<(), ConfigError> {
         let network = &self.network;
-        share(file, "network.client_loss", network.client_loss)?;
-        share(file, "network.zone_loss", network.zone_loss)?;
-        share(file, "network.duplicate", network.duplicate)?;
-        share(file, "network.reorder", network.reorder)?;
-        share(file, "network.late_copy", network.late_copy)?;
-        not_negative(file, "network.late_copy_delay_ms", network.late_copy_delay_ms)?;
-        not_negative(file, "network.client_delay_ms", network.client_delay_ms)?;
-        not_negative(file, "network.zone_delay_ms", network.zone_delay_ms)?;
-        not_negative(file, "network.reorder_delay_ms", network.reorder_delay_ms)
+        check_share(file, "network.client_loss", network.client_loss)?;
+        check_share(file, "network.zone_loss", network.zone_loss)?;
+        check_share(file, "network.duplicate", network.duplicate)?;
+        check_share(file, "network.reorder", network.reorder)?;
+        check_share(file, "network.late_copy", network.late_copy)?;
+        check_not_negative(file, "network.late_copy_delay_ms", network.late_copy_delay_ms)?;
+        check_not_negative(file, "network.client_delay_ms", network.client_delay_ms)?;
+        check_not_negative(file, "network.zone_delay_ms", network.zone_delay_ms)?;
+        check_not_negative(file, "network.reorder_delay_ms", network.reorder_delay_ms)
     }
 
     fn check_fault(&self, file: &str, index: usize, fault: &Fault) -> Result<(), ConfigError> {
         let field = format!("faults[{index}].action");
-        not_negative(file, &format!("faults[{index}].at"), fault.at)?;
+        check_not_negative(file, &format!("faults[{index}].at"), fault.at)?;
         match &fault.action {
             FaultAction::DrainTarget(target)
             | FaultAction::ActivateTarget(target)
@@ -281,7 +285,7 @@
             | FaultAction::RefuseConnections { target, .. }
             | FaultAction::MisdirectTarget { target, .. }
             | FaultAction::MisleadingReports(target) => {
-                below(file, &field, *target, self.target_count())
+                check_below(file, &field, *target, self.target_count())
             }
             FaultAction::KillBalancer(balancer)
             | FaultAction::StopBalancer(balancer)
@@ -291,7 +295,7 @@
                     .iter()
                     .filter(|other| other.at < fault.at && other.action == FaultAction::AddBalancer)
                     .count();
-                below(file, &field, *balancer, self.balancers + added)
+                check_below(file, &field, *balancer, self.balancers + added)
             }
             FaultAction::CutZones { from, to, .. } => {
                 self.check_zone(file, &field, from)?;
@@ -314,42 +318,47 @@
 
 fn check_service(file: &str, index: usize, service: &ServiceScenario) -> Result<(), ConfigError> {
     let field = |name: &str| format!("services[{index}].{name}");
-    at_least(file, &field("targets"), service.targets, 1)?;
-    at_least(file, &field("slots"), service.slots as usize, 1)?;
-    at_least(file, &field("connections"), service.connections as usize, 1)?;
-    at_least(file, &field("port"), usize::from(service.port), 1)?;
-    share(file, &field("load"), service.load)?;
-    share(file, &field("kept_flow_share"), service.kept_flow_share)?;
-    share(file, &field("plain_caller_share"), service.plain_caller_share)?;
-    at_least(file, &field("feed_interval_ms"), service.feed_interval_ms as usize, 1)?;
+    check_at_least(file, &field("targets"), service.targets, 1)?;
+    check_at_least(file, &field("slots"), service.slots as usize, 1)?;
+    check_at_least(file, &field("connections"), service.connections as usize, 1)?;
+    check_at_least(file, &field("port"), usize::from(service.port), 1)?;
+    check_share(file, &field("load"), service.load)?;
+    check_share(file, &field("kept_flow_share"), service.kept_flow_share)?;
+    check_share(file, &field("plain_caller_share"), service.plain_caller_share)?;
+    check_at_least(file, &field("feed_interval_ms"), service.feed_interval_ms as usize, 1)?;
     if service.service_ms > 0.0 {
         return Ok(());
     }
     Err(ConfigError::field(file, field("service_ms"), service.service_ms, "a number above 0"))
 }
 
-fn at_least(file: &str, field: &str, value: usize, minimum: usize) -> Result<(), ConfigError> {
+fn check_at_least(
+    file: &str,
+    field: &str,
+    value: usize,
+    minimum: usize,
+) -> Result<(), ConfigError> {
     if value >= minimum {
         return Ok(());
     }
     Err(ConfigError::field(file, field, value, format!("at least {minimum}")))
 }
 
-fn below(file: &str, field: &str, value: usize, limit: usize) -> Result<(), ConfigError> {
+fn check_below(file: &str, field: &str, value: usize, limit: usize) -> Result<(), ConfigError> {
     if value < limit {
         return Ok(());
     }
     Err(ConfigError::field(file, field, value, format!("a number below {limit}")))
 }
 
-fn share(file: &str, field: &str, value: f64) -> Result<(), ConfigError> {
+fn check_share(file: &str, field: &str, value: f64) -> Result<(), ConfigError> {
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
     Err(ConfigError::field(file, field, value, "a share from 0 to 1"))
 }
 
-fn not_negative(file: &str, field: &str, value: f64) -> Result<(), ConfigError> {
+fn check_not_negative(file: &str, field: &str, value: f64) -> Result<(), ConfigError> {
     if value >= 0.0 {
         return Ok(());
     }
--- a/crates/rehearsal/src/scrape.rs
+++ b/crates/rehearsal/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Reads the daemons' own counters at the end of a rehearsal.
+//! Reads the daemons' metrics at the end of a rehearsal.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,15 +6,15 @@
 
 use weirhinge_document_source::{Fetched, fetch};
 
-/// Longest wait for one daemon's answer.
+/// Timeout of one daemon's response.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Prefix of every metric of the product.
+/// Prefix of every metric name.
 const PREFIX: &str = "weirhinge_";
 
-/// Counters summed over daemons, by name and labels.
+/// Counters summed over daemons, by name (without prefix and `_total`) and labels.
 pub type Counters = BTreeMap<String, u64>;
 
-/// Sums the counters of all daemons that answer.
+/// Sums the counters of all daemons that respond; others are skipped.
 pub async fn scrape_all(daemons: &[SocketAddr]) -> Counters {
     let mut sums = Counters::new();
     for &daemon in daemons {
@@ -27,7 +27,7 @@
     sums
 }
 
-/// Adds the counters of one daemon's text; gauges are left out.
+/// Adds the counters in one daemon's metrics text; gauges are skipped.
 fn add_counters(sums: &mut Counters, text: &str) {
     for line in text.lines() {
         let Some((name, value)) = line.rsplit_once(' ') else {
--- a/crates/rehearsal/src/simulate.rs
+++ b/crates/rehearsal/src/simulate.rs
@@ -1,8 +1,9 @@
-//! Simulates admission policies in one process, as yardsticks for imbalance.
+//! Simulates admission policies in one process, as reference values for
+//! imbalance.
 //!
-//! The product's own chain of candidates runs the very code of the agents;
-//! beside it stand an ideal dispatcher and two common ones. Time is simulated
-//! and everything random comes from a seed.
+//! The chain of candidates runs the agents' admission code. It is compared with
+//! an ideal dispatcher and two common policies. Time is simulated, and all
+//! randomness comes from a seed.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -16,26 +17,27 @@
 
 use crate::sampler::percentile;
 
-/// How a new request finds its target.
+/// How a target is chosen for a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Policy {
-    /// The shortest queue, known perfectly: the best that can be had.
+    /// The target with the fewest in-flight requests, known exactly; the best
+    /// achievable result.
     Ideal,
-    /// The chain of agents, by the product's own code.
+    /// A chain of agents, decided by the agents' own code.
     Chain {
-        /// Targets that are compared.
+        /// Number of targets that are compared.
         candidates: u8,
     },
-    /// The shortest queue by loads reported this often.
+    /// The target with the lowest load by periodic reports.
     ReportedLoad {
-        /// Milliseconds between two reports.
+        /// Interval between two reports, in milliseconds.
         interval_ms: u64,
     },
-    /// The hash of the flow alone.
+    /// The target selected by the flow's hash, regardless of load.
     HashOnly,
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Simulation {
     /// Number of targets.
@@ -48,35 +50,35 @@
     pub load: f64,
     /// Simulated time, in seconds.
     pub seconds: f64,
-    /// Time for one hop between agents, in seconds.
+    /// Latency of one hop between agents, in seconds.
     pub hop_seconds: f64,
-    /// Seed of everything random.
+    /// Random seed.
     pub seed: u64,
 }
 
-/// What a policy achieved.
+/// Results of one policy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PolicyResult {
     /// The policy.
     pub policy: Policy,
     /// Median imbalance over windows of one second.
     pub imbalance: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the imbalance over windows of one second.
     pub imbalance_p99: f64,
     /// Median time from arrival to answer, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the time from arrival to answer, in milliseconds.
     pub p99_ms: f64,
-    /// Mean hops between agents of one opening packet.
+    /// Mean number of hops between agents per opening packet.
     pub hops: f64,
 }
 
 #[derive(Clone, Default)]
 struct Server {
-    /// Numbers of the requests that wait for a slot.
+    /// Indices of the jobs that wait for a slot.
     waiting: VecDeque<usize>,
     busy: u32,
-    /// Admitted requests that have not been answered.
+    /// Admitted requests that are not yet answered.
     in_flight: u32,
     busy_seconds: f64,
 }
@@ -87,19 +89,19 @@
     service: f64,
 }
 
-/// A moment in simulated time, ordered for the heap.
+/// Simulated time in seconds, with the total order that the heap needs.
 #[derive(Clone, Copy, PartialEq)]
-struct Moment(f64);
+struct SimTime(f64);
 
-impl Eq for Moment {}
+impl Eq for SimTime {}
 
-impl PartialOrd for Moment {
+impl PartialOrd for SimTime {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Moment {
+impl Ord for SimTime {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0)
     }
@@ -108,7 +110,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrival,
-    /// A request reaches the back end that was chosen for it.
+    /// A request reaches the chosen server.
     Start {
         server: usize,
         job: usize,
@@ -121,12 +123,12 @@
     Window,
 }
 
-struct World {
+struct Simulator {
     simulation: Simulation,
     policy: Policy,
     random: ChaCha8Rng,
-    events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(SimTime, u64, Event)>>,
+    sequence: u64,
     now: f64,
     window_began: f64,
     servers: Vec<Server>,
@@ -137,14 +139,14 @@
     hops: u64,
 }
 
-/// Simulates one policy.
+/// Runs a simulation with one policy.
 pub fn simulate(simulation: Simulation, policy: Policy) -> PolicyResult {
-    let mut world = World {
+    let mut simulator = Simulator {
         simulation,
         policy,
         random: ChaCha8Rng::seed_from_u64(simulation.seed),
         events: BinaryHeap::new(),
-        order: 0,
+        sequence: 0,
         now: 0.0,
         window_began: 0.0,
         servers: vec![Server::default(); usize::from(simulation.targets)],
@@ -154,18 +156,18 @@
         latencies: Vec::new(),
         hops: 0,
     };
-    world.run();
-    world.result()
+    simulator.run();
+    simulator.result()
 }
 
-impl World {
+impl Simulator {
     fn run(&mut self) {
         self.schedule(0.0, Event::Arrival);
         self.schedule(1.0, Event::Window);
         if let Policy::ReportedLoad { .. } = self.policy {
             self.schedule(0.0, Event::Report);
         }
-        while let Some(Reverse((Moment(at), _, event))) = self.events.pop() {
+        while let Some(Reverse((SimTime(at), _, event))) = self.events.pop() {
             if at > self.simulation.seconds {
                 return;
             }
@@ -181,8 +183,8 @@
     }
 
     fn schedule(&mut self, at: f64, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((Moment(at), self.order, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((SimTime(at), self.sequence, event)));
     }
 
     fn advance(&mut self, at: f64) {
@@ -204,7 +206,7 @@
         self.schedule(self.now + gap, Event::Arrival);
         let service = self.exponential(service_seconds);
         let flow_hash = self.random.next_u64();
-        let (server, hops) = self.choose(flow_hash);
+        let (server, hops) = self.choose_server(flow_hash);
         self.hops += hops;
         self.servers[server].in_flight += 1;
         self.jobs.push(Job { arrived: self.now, service });
@@ -212,24 +214,24 @@
         self.schedule(self.now + hops as f64 * hop_seconds, Event::Start { server, job });
     }
 
-    fn choose(&mut self, flow_hash: u64) -> (usize, u64) {
+    fn choose_server(&mut self, flow_hash: u64) -> (usize, u64) {
         let owner = (flow_hash % self.servers.len() as u64) as usize;
         match self.policy {
             Policy::HashOnly => (owner, 0),
             Policy::Ideal => {
                 let loads: Vec<u32> = self.servers.iter().map(|server| server.in_flight).collect();
-                (self.shortest(&loads), 0)
+                (self.least_loaded(&loads), 0)
             }
             Policy::ReportedLoad { .. } => {
                 let loads = self.reported.clone();
-                (self.shortest(&loads), 0)
+                (self.least_loaded(&loads), 0)
             }
             Policy::Chain { candidates } => self.walk_chain(owner, flow_hash, candidates),
         }
     }
 
-    /// The least loaded server; ties are broken at random.
-    fn shortest(&mut self, loads: &[u32]) -> usize {
+    /// Returns the least loaded server; ties are broken at random.
+    fn least_loaded(&mut self, loads: &[u32]) -> usize {
         let least = loads.iter().min().copied().unwrap_or(0);
         let ties: Vec<usize> = (0..loads.len()).filter(|&index| loads[index] == least).collect();
         ties[self.random.random_range(0..ties.len())]
@@ -262,7 +264,7 @@
                     (at, delivery) = (to, next);
                     hops += 1;
                 }
-                // With unlimited connections nothing is ever refused.
+                // With unlimited connections, no request is ever refused.
                 AdmissionStep::Admit | AdmissionStep::Refuse(_) => {
                     return (usize::from(at.0), hops);
                 }
@@ -317,13 +319,13 @@
     fn result(mut self) -> PolicyResult {
         self.imbalances.sort_by(f64::total_cmp);
         self.latencies.sort_by(f64::total_cmp);
-        let of = |values: &[f64], rank| percentile(values, rank).unwrap_or(f64::NAN);
+        let at_rank = |values: &[f64], rank| percentile(values, rank).unwrap_or(f64::NAN);
         PolicyResult {
             policy: self.policy,
-            imbalance: of(&self.imbalances, 0.5),
-            imbalance_p99: of(&self.imbalances, 0.99),
-            p50_ms: of(&self.latencies, 0.5),
-            p99_ms: of(&self.latencies, 0.99),
+            imbalance: at_rank(&self.imbalances, 0.5),
+            imbalance_p99: at_rank(&self.imbalances, 0.99),
+            p50_ms: at_rank(&self.latencies, 0.5),
+            p99_ms: at_rank(&self.latencies, 0.99),
             hops: self.hops as f64 / self.jobs.len().max(1) as f64,
         }
     }
--- a/crates/rehearsal/src/simulate_changes.rs
+++ b/crates/rehearsal/src/simulate_changes.rs
@@ -1,7 +1,9 @@
-//! Simulates thousands of configuration changes under open flows, for ways of
-//! finding a flow's holder: ours and the published ones re-expressed small.
+//! Simulates thousands of configuration changes with open flows, to compare
+//! schemes for finding a flow's holder: the ones used here and minimal versions
+//! of published ones.
 //!
-//! Routing is the product's own table; what is simulated is who finds whom.
+//! Packets are routed by the real routing table; only the forwarding between
+//! targets is simulated.
 
 use std::net::SocketAddr;
 
@@ -15,108 +17,109 @@
 use weirhinge_packet::decode_packet;
 use weirhinge_routing::{HolderHint, Route, RouteBasis, RoutingTable};
 
-/// Targets of the simulated service.
+/// Number of targets of the simulated service.
 const TARGETS: u16 = 10;
-/// Fewest targets that stay active.
-const FEWEST_ACTIVE: usize = 5;
-/// Open flows at any time.
+/// Minimum number of targets that stay active.
+const MIN_ACTIVE_TARGETS: usize = 5;
+/// Number of open flows at any time.
 const FLOWS: usize = 500;
-/// Share of the flows that end, and are replaced, at each change.
-const TURNOVER: f64 = 0.05;
+/// Share of the flows that end and are replaced at each change.
+const TURNOVER_SHARE: f64 = 0.05;
 const SERVICE: ([u8; 4], u16) = ([203, 0, 113, 10], 8_443);
 const KEY: HashKey = HashKey([9; 16]);
 
-/// How a later packet finds the flow's holder.
+/// How a packet after the opening one finds the flow's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Scheme {
-    /// Only the bucket's owner under the newest table.
+    /// Packets go to the bucket's owner in the latest table and no further.
     HashOnly,
-    /// The owner passes what it does not hold to the previous owner.
+    /// The owner forwards packets of unknown flows to the previous owner.
     OnePreviousOwner,
-    /// The owner finds the holder by the directory.
+    /// The owner looks up the holder in its directory.
     Directory,
     /// The balancer follows the holder hint.
     Hint,
 }
 
-/// What a scheme came to over all changes.
+/// Results of one scheme across all changes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ChangeResult {
     /// The scheme.
     pub scheme: Scheme,
-    /// Changes simulated.
+    /// Number of simulated changes.
     pub changes: u64,
-    /// Flows that broke, per 10,000 changes.
+    /// Broken flows per 10,000 changes.
     pub broken: f64,
-    /// Packets that passed one more agent, as a share of all later packets.
+    /// Share of packets on open flows that passed through an additional agent.
     pub extra_hops: f64,
 }
 
-/// How many buckets moved, against the least that could.
+/// Number of buckets that moved, compared with the minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct MoveResult {
-    /// Buckets that changed their owner.
+    /// Buckets whose owner changed.
     pub moved: u64,
-    /// Buckets that had to: those of the target that left, or those that the
-    /// joining target owns afterwards.
+    /// Buckets that had to move: those of the drained target, or those that the
+    /// activated target owns afterwards.
     pub least: u64,
 }
 
 struct Flow {
-    caller: SocketAddr,
+    client: SocketAddr,
     holder: TargetId,
 }
 
-struct World {
+struct Simulator {
     scheme: Scheme,
     random: ChaCha8Rng,
     document: ConfigDocument,
     table: RoutingTable,
     previous: RoutingTable,
     flows: Vec<Flow>,
-    next_caller: u32,
+    next_client: u32,
     broken: u64,
     packets: u64,
     extra_hops: u64,
     moves: MoveResult,
 }
 
-/// Simulates `changes` drains and activations of one target each.
+/// Simulates `changes` configuration changes, each of which drains or activates
+/// one target.
 pub fn simulate_changes(scheme: Scheme, changes: u64, seed: u64) -> (ChangeResult, MoveResult) {
     let document = document();
     let table = RoutingTable::build(&document, &KEY);
-    let mut world = World {
+    let mut simulator = Simulator {
         scheme,
         random: ChaCha8Rng::seed_from_u64(seed),
         document,
         previous: table.clone(),
         table,
         flows: Vec::new(),
-        next_caller: 0,
+        next_client: 0,
         broken: 0,
         packets: 0,
         extra_hops: 0,
         moves: MoveResult { moved: 0, least: 0 },
     };
     for _ in 0..FLOWS {
-        let flow = world.open_flow();
-        world.flows.push(flow);
+        let flow = simulator.open_flow();
+        simulator.flows.push(flow);
     }
     for _ in 0..changes {
-        world.change();
-        world.send_on_every_flow();
+        simulator.apply_random_change();
+        simulator.send_on_every_flow();
     }
     let result = ChangeResult {
         scheme,
         changes,
-        broken: world.broken as f64 * 10_000.0 / changes as f64,
-        extra_hops: world.extra_hops as f64 / world.packets as f64,
+        broken: simulator.broken as f64 * 10_000.0 / changes as f64,
+        extra_hops: simulator.extra_hops as f64 / simulator.packets as f64,
     };
-    (result, world.moves)
+    (result, simulator.moves)
 }
 
-impl World {
-    fn change(&mut self) {
+impl Simulator {
+    fn apply_random_change(&mut self) {
         let active = self
             .document
             .targets
@@ -126,7 +129,7 @@
         let chosen = loop {
             let chosen = self.random.random_range(0..self.document.targets.len());
             let drains = self.document.targets[chosen].state == TargetState::Active;
-            if !drains || active > FEWEST_ACTIVE {
+            if !drains || active > MIN_ACTIVE_TARGETS {
                 break chosen;
             }
         };
@@ -157,10 +160,10 @@
 
     fn send_on_every_flow(&mut self) {
         for index in 0..self.flows.len() {
-            let Flow { caller, holder } = self.flows[index];
+            let Flow { client, holder } = self.flows[index];
             self.packets += 1;
-            let ended = self.random.random_bool(TURNOVER);
-            if !self.reaches(caller, holder) {
+            let ended = self.random.random_bool(TURNOVER_SHARE);
+            if !self.reaches_holder(client, holder) {
                 self.broken += 1;
                 self.flows[index] = self.open_flow();
             } else if ended {
@@ -169,10 +172,11 @@
         }
     }
 
-    /// Whether a later packet of a flow reaches its holder; counts extra hops.
-    fn reaches(&mut self, caller: SocketAddr, holder: TargetId) -> bool {
+    /// Returns whether a packet of an open flow reaches its holder; counts extra
+    /// hops.
+    fn reaches_holder(&mut self, client: SocketAddr, holder: TargetId) -> bool {
         let hint = (self.scheme == Scheme::Hint).then_some(HolderHint(holder));
-        let Some(route) = route(&self.table, caller, hint) else {
+        let Some(route) = route(&self.table, client, hint) else {
             return false;
         };
         if route.target == holder {
@@ -182,7 +186,7 @@
             Scheme::HashOnly | Scheme::Hint => false,
             Scheme::OnePreviousOwner => {
                 self.extra_hops += 1;
-                let previous = route_owner(&self.previous, caller);
+                let previous = route_owner(&self.previous, client);
                 previous == Some(holder)
             }
             Scheme::Directory => {
@@ -193,23 +197,23 @@
     }
 
     fn open_flow(&mut self) -> Flow {
-        self.next_caller += 1;
-        let [_, high, middle, low] = self.next_caller.to_be_bytes();
-        let caller = SocketAddr::from(([198, 18, high, middle], 1_024 + u16::from(low)));
-        // Every simulated table has active targets.
-        let holder = route_owner(&self.table, caller).unwrap_or(TargetId(0));
-        Flow { caller, holder }
+        self.next_client += 1;
+        let [_, high, middle, low] = self.next_client.to_be_bytes();
+        let client = SocketAddr::from(([198, 18, high, middle], 1_024 + u16::from(low)));
+        // Every simulated table has active targets, so the default is never used.
+        let holder = route_owner(&self.table, client).unwrap_or(TargetId(0));
+        Flow { client, holder }
     }
 }
 
-fn route_owner(table: &RoutingTable, caller: SocketAddr) -> Option<TargetId> {
-    let route = route(table, caller, None)?;
+fn route_owner(table: &RoutingTable, client: SocketAddr) -> Option<TargetId> {
+    let route = route(table, client, None)?;
     debug_assert_eq!(route.basis, RouteBasis::Owner);
     Some(route.target)
 }
 
-fn route(table: &RoutingTable, caller: SocketAddr, hint: Option<HolderHint>) -> Option<Route> {
-    let std::net::IpAddr::V4(ip) = caller.ip() else {
+fn route(table: &RoutingTable, client: SocketAddr, hint: Option<HolderHint>) -> Option<Route> {
+    let std::net::IpAddr::V4(ip) = client.ip() else {
         return None;
     };
     let mut options = Vec::new();
@@ -218,8 +222,8 @@
         options.extend(hint.timestamp(77).to_be_bytes());
     }
     let step =
-        PacketBuilder::ipv4(ip.octets(), SERVICE.0, 64).tcp(caller.port(), SERVICE.1, 1, 4_000);
-    // Only an opening packet goes to the owner whatever its numbers are.
+        PacketBuilder::ipv4(ip.octets(), SERVICE.0, 64).tcp(client.port(), SERVICE.1, 1, 4_000);
+    // Only opening packets go to the owner regardless of sequence numbers.
     let step = if hint.is_some() { step.ack(1) } else { step.syn() };
     let mut packet = Vec::new();
     step.options_raw(&options).ok()?.write(&mut packet, &[]).ok()?;
--- a/crates/rehearsal/src/standin/back_end.rs
+++ b/crates/rehearsal/src/standin/back_end.rs
@@ -1,5 +1,6 @@
-//! A back end: an HTTP server with slots, a connection limit, a cold start,
-//! shedding, deadlines and cancellation, and endpoints that can mislead.
+//! A back end: an HTTP server with slots, a connection limit, a cold start, load
+//! shedding, deadlines and cancellation, whose load and health endpoints can
+//! misreport.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -28,41 +29,42 @@
 
 /// Header with the request's identifier, echoed in the answer.
 pub const REQUEST_HEADER: &str = "x-request-id";
-/// Header with the service that the caller means.
+/// Header with the name of the requested service.
 pub const SERVICE_HEADER: &str = "x-service";
-/// Header with the milliseconds that the caller waits at most.
+/// Header with the maximum time that the request may wait for a slot, in
+/// milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Requests per slot that may wait; further ones are shed.
+/// Queue limit per slot; requests beyond it are shed.
 const QUEUE_PER_SLOT: u32 = 8;
-/// Length of the fixed part of a PROXY protocol version 2 header.
+/// Length of the fixed part of a PROXY protocol version 2 header, in bytes.
 const PROXY_FIXED_LENGTH: usize = 16;
-/// Age that a reported load may reach.
+/// Interval at which the reported load is refreshed.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a cold back end works slower.
-const COLD_START: Duration = Duration::from_secs(3);
-/// How much slower a completely cold back end works.
+/// Duration of the cold start, during which requests are slower.
+const COLD_START_DURATION: Duration = Duration::from_secs(3);
+/// Factor on service times at the beginning of the cold start.
 const COLD_FACTOR: f64 = 2.0;
 
 type AnswerBody = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What a back end is like.
+/// Options of a back end.
 #[derive(Clone, Debug)]
 pub struct BackEndOptions {
-    /// Number of the target over all services.
+    /// Target number across all services.
     pub target: usize,
     /// Name of the service.
     pub service: String,
-    /// Requests worked on at once.
+    /// Requests processed concurrently.
     pub slots: u32,
-    /// Connections accepted at once.
+    /// Concurrent connections accepted.
     pub connections: u32,
     /// Mean service time.
     pub service_time: Duration,
-    /// Time between two updates of a feed.
+    /// Interval between two updates of a feed.
     pub feed_interval: Duration,
-    /// Bytes of an answer.
+    /// Length of an answer's body, in bytes.
     pub answer_bytes: usize,
-    /// Seed of the service times.
+    /// Random seed of the service times.
     pub seed: u64,
 }
 
@@ -73,9 +75,9 @@
     in_use: AtomicU32,
     waiting: AtomicU32,
     connections: AtomicU32,
-    misleading: AtomicBool,
-    /// Slots in use as the load endpoint reports them: always a little old.
-    reported: AtomicU32,
+    misreporting: AtomicBool,
+    /// Slots in use at the last refresh, as reported by the load endpoint.
+    last_reported: AtomicU32,
     random: Mutex<ChaCha8Rng>,
     started: Instant,
 }
@@ -89,7 +91,7 @@
 }
 
 impl BackEnd {
-    /// Starts a back end on loopback.
+    /// Starts a back end on a loopback port.
     pub async fn start(options: BackEndOptions, history: History) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -101,8 +103,8 @@
             in_use: AtomicU32::new(0),
             waiting: AtomicU32::new(0),
             connections: AtomicU32::new(0),
-            misleading: AtomicBool::new(false),
-            reported: AtomicU32::new(0),
+            misreporting: AtomicBool::new(false),
+            last_reported: AtomicU32::new(0),
             random: Mutex::new(random),
             started: Instant::now(),
         });
@@ -112,28 +114,28 @@
         Ok(Self { address, state, refusing })
     }
 
-    /// The back end's address.
+    /// Returns the address that the back end listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Slots in use at this moment.
+    /// Returns the number of slots currently in use.
     pub fn slots_in_use(&self) -> u32 {
         self.state.in_use.load(Ordering::Relaxed)
     }
 
-    /// Refuses new connections, or takes them again.
+    /// Refuses new connections, or accepts them again.
     pub fn set_refusing(&self, refusing: bool) {
         self.refusing.send_replace(refusing);
     }
 
-    /// Lets the load and health endpoints report an idle, healthy back end.
-    pub fn mislead(&self) {
-        self.state.misleading.store(true, Ordering::Relaxed);
+    /// Makes the load and health endpoints report an idle, healthy back end.
+    pub fn start_misreporting(&self) {
+        self.state.misreporting.store(true, Ordering::Relaxed);
     }
 }
 
-/// Accepts connections; while refusing, no socket listens at the address.
+/// Accepts connections. While refusing, no socket listens on the address.
 async fn accept(
     listener: TcpListener,
     address: SocketAddr,
@@ -166,14 +168,14 @@
     }
 }
 
-/// Closes a listener, but first serves the connections that the kernel has
-/// accepted for it: closing would reset them, which is no refusal.
+/// Closes a listener, but first serves the connections in its accept queue.
+/// Closing would reset those, which is not a refusal.
 fn serve_queued(listener: TcpListener, state: &Arc<State>) {
     let Ok(listener) = listener.into_std() else {
         return;
     };
     while let Ok((stream, _)) = listener.accept() {
-        // The listener does not block, and neither do its streams need to.
+        // The listener is non-blocking, but accepted streams must be set so.
         if stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
         {
@@ -191,21 +193,22 @@
     let _ = stream.set_nodelay(true);
     tokio::spawn(async move {
         let mut stream = stream;
-        if let Ok(caller) = read_proxy_header(&mut stream).await {
-            state.history.accepted(state.options.target, caller);
+        if let Ok(client) = read_proxy_header(&mut stream).await {
+            state.history.record_accepted(state.options.target, client);
         }
         let service = service_fn(|request| {
             let state = state.clone();
-            async move { Ok::<_, Infallible>(state.answer(request).await) }
+            async move { Ok::<_, Infallible>(state.respond(request).await) }
         });
-        // A caller that goes away ends the connection; its request's future is
-        // dropped with it, which is the cancellation.
+        // When a client disconnects, the connection ends and the request's future
+        // is dropped, which cancels the request.
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         state.connections.fetch_sub(1, Ordering::Relaxed);
     });
 }
 
-/// Reads the PROXY protocol header that precedes the caller's bytes.
+/// Reads the PROXY protocol header that precedes the client's data, and returns
+/// the client's address.
 async fn read_proxy_header(stream: &mut TcpStream) -> std::io::Result<SocketAddr> {
     let mut header = vec![0; PROXY_FIXED_LENGTH];
     stream.read_exact(&mut header).await?;
@@ -216,12 +219,12 @@
     match parsed.addresses {
         Addresses::IPv4(ends) => Ok((ends.source_address, ends.source_port).into()),
         Addresses::IPv6(ends) => Ok((ends.source_address, ends.source_port).into()),
-        _ => Err(std::io::Error::other("no IP addresses in the PROXY header")),
+        _ => Err(std::io::Error::other("PROXY header without IP addresses")),
     }
 }
 
 impl State {
-    async fn answer(self: &Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn respond(self: &Arc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         match request.uri().path() {
             "/load" => return text(self.reported_load().to_string()),
             "/health" => return text("ok".to_owned()),
@@ -230,8 +233,9 @@
         let Some(id) = header_number(&request, REQUEST_HEADER) else {
             return status(StatusCode::BAD_REQUEST);
         };
-        let meant = request.headers().get(SERVICE_HEADER);
-        if meant.is_none_or(|meant| meant.as_bytes() != self.options.service.as_bytes()) {
+        let requested = request.headers().get(SERVICE_HEADER);
+        if requested.is_none_or(|requested| requested.as_bytes() != self.options.service.as_bytes())
+        {
             self.history.lock().misrouted += 1;
             return status(StatusCode::MISDIRECTED_REQUEST);
         }
@@ -244,10 +248,10 @@
         response
     }
 
-    /// Runs a request in a slot. Every 503 is sent before the request has run.
+    /// Runs a request in a slot. A 503 is only sent for requests that have not run.
     async fn run(&self, id: RequestId, request: &Request<Incoming>) -> Response<AnswerBody> {
         let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let _waiting = CountGuard(&self.waiting);
+        let _waiting_guard = CountGuard(&self.waiting);
         if waiting >= self.options.slots * QUEUE_PER_SLOT {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
@@ -260,8 +264,8 @@
             return status(StatusCode::SERVICE_UNAVAILABLE);
         };
         self.in_use.fetch_add(1, Ordering::Relaxed);
-        let _in_use = CountGuard(&self.in_use);
-        self.history.ran(id);
+        let _in_use_guard = CountGuard(&self.in_use);
+        self.history.record_run(id);
         tokio::time::sleep(self.service_time()).await;
         Response::new(answer_body(id, self.options.answer_bytes).boxed_unsync())
     }
@@ -275,30 +279,30 @@
     fn service_time(&self) -> Duration {
         let uniform: f64 = self.random.lock().unwrap_or_else(PoisonError::into_inner).random();
         let exponential = -(1.0 - uniform).ln();
-        let age = self.started.elapsed().as_secs_f64() / COLD_START.as_secs_f64();
+        let age = self.started.elapsed().as_secs_f64() / COLD_START_DURATION.as_secs_f64();
         let cold = 1.0 + (COLD_FACTOR - 1.0) * (1.0 - age).max(0.0);
         self.options.service_time.mul_f64(exponential * cold)
     }
 
     fn reported_load(&self) -> u32 {
-        if self.misleading.load(Ordering::Relaxed) {
+        if self.misreporting.load(Ordering::Relaxed) {
             return 0;
         }
-        self.reported.load(Ordering::Relaxed)
+        self.last_reported.load(Ordering::Relaxed)
     }
 }
 
-/// Brings the reported load up to date now and then, as lagging reports do.
+/// Refreshes the reported load periodically, so that it lags like real reports.
 async fn refresh_report(state: Weak<State>) {
     while let Some(state) = state.upgrade() {
         let in_use = state.in_use.load(Ordering::Relaxed);
-        state.reported.store(in_use, Ordering::Relaxed);
+        state.last_reported.store(in_use, Ordering::Relaxed);
         drop(state);
         tokio::time::sleep(REPORT_INTERVAL).await;
     }
 }
 
-/// Takes one off a count when dropped, also when a request is cancelled.
+/// Decrements a counter when dropped, including when a request is cancelled.
 struct CountGuard<'a>(&'a AtomicU32);
 
 impl Drop for CountGuard<'_> {
@@ -307,12 +311,12 @@
     }
 }
 
-/// The line of a feed at one place.
+/// Returns line `number` of a feed.
 pub fn feed_line(id: RequestId, number: u64) -> String {
     format!("{id} {number}\n")
 }
 
-/// The answer to a request: its identifier over and over.
+/// Returns the answer to a request: its identifier, repeated to `length` bytes.
 pub fn answer_bytes(id: RequestId, length: usize) -> Bytes {
     id.to_be_bytes().iter().copied().cycle().take(length).collect()
 }
@@ -321,7 +325,7 @@
     Full::new(answer_bytes(id, length))
 }
 
-/// An endless body of numbered lines.
+/// An endless body of numbered lines, one per interval.
 struct FeedBody {
     interval: Interval,
     id: RequestId,
--- a/crates/rehearsal/src/standin/caller.rs
+++ b/crates/rehearsal/src/standin/client.rs
@@ -1,5 +1,5 @@
-//! A caller: one user-space TCP connection through the fabric with an HTTP
-//! client on it.
+//! A client: a user-space TCP connection through the fabric that carries an HTTP
+//! client.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::OnceLock;
@@ -18,44 +18,44 @@
 
 use crate::standin::fabric::Fabric;
 
-/// Buffers of a caller's connection, in bytes.
+/// Buffer sizes of a client's connection, in bytes.
 const BUFFERS: BufferSizes = BufferSizes { receive: 32 << 10, send: 8 << 10 };
-/// Bytes between the connection and its HTTP client.
-const PIPE: usize = 16 << 10;
-/// How long a caller tries to open a connection.
+/// Buffer between the connection and its HTTP client, in bytes.
+const PIPE_BYTES: usize = 16 << 10;
+/// Time within which a connection must be established.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(20);
-/// First port that callers use.
+/// First source port that clients use.
 const FIRST_PORT: u32 = 10_000;
-/// Ports per caller address.
-const PORTS: u32 = 50_000;
+/// Number of source ports per client address.
+const PORTS_PER_ADDRESS: u32 = 50_000;
 
-/// Why a connection was not opened. Either way nothing was sent.
+/// Why a connection was not opened. In every case no data was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// The service answered by a reset.
+    /// The service answered with a reset.
     Refused {
-        /// Time from the first packet.
+        /// Time since the first packet.
         after: Duration,
     },
-    /// Nothing answered in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// This machine could not make the connection.
+    /// The connection could not be created locally.
     Local,
 }
 
-/// Gives each connection an address and port of its own, never used twice.
+/// Allocates a unique source address and port for each connection.
 #[derive(Debug, Default)]
 pub struct AddressPool {
     next: AtomicU32,
 }
 
 impl AddressPool {
-    fn take(&self, destination: SocketAddr) -> SocketAddr {
+    fn allocate(&self, destination: SocketAddr) -> SocketAddr {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let host = number / PORTS;
-        let port = (FIRST_PORT + number % PORTS) as u16;
+        let host = number / PORTS_PER_ADDRESS;
+        let port = (FIRST_PORT + number % PORTS_PER_ADDRESS) as u16;
         let ip = match destination.ip() {
-            // 198.18.0.0/15 is set aside for benchmarks (RFC 2544).
+            // 198.18.0.0/15 is reserved for benchmarks (RFC 2544).
             IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::from_bits(0xC612_0001 + host)),
             IpAddr::V6(_) => IpAddr::V6((0x2001_0002_u128 << 96 | u128::from(host + 1)).into()),
         };
@@ -63,9 +63,9 @@
     }
 }
 
-struct CallerSink(Fabric);
+struct ClientSink(Fabric);
 
-impl PacketSink for CallerSink {
+impl PacketSink for ClientSink {
     fn send(&mut self, packet: &[u8]) {
         self.0.send(packet);
     }
@@ -81,44 +81,45 @@
     }
 }
 
-/// An open connection.
+/// An established connection.
 pub struct Connection {
-    /// The caller's own address.
+    /// The client's address.
     pub source: SocketAddr,
-    /// The connection's bytes.
+    /// The connection's byte stream.
     pub stream: DuplexStream,
 }
 
 /// Opens a connection to a service, with or without TCP timestamps.
 ///
 /// # Errors
-/// When it is refused or not answered; nothing has been sent then.
+/// Fails if the connection is refused, unanswered or cannot be created. No data
+/// has been sent in these cases.
 pub async fn open(
     fabric: &Fabric,
     pool: &AddressPool,
     destination: SocketAddr,
     with_timestamps: bool,
 ) -> Result<Connection, OpenError> {
-    let source = pool.take(destination);
-    let mut packets = fabric.add_caller(source);
+    let source = pool.allocate(destination);
+    let mut packets = fabric.add_client(source);
     let options = EndpointOptions {
         buffers: BUFFERS,
         seed: getrandom::u64().map_err(|_| OpenError::Local)?,
         initial_sequence: None,
         resets_early: false,
-        timestamps: with_timestamps.then_some(caller_timestamp as TimestampSource),
+        timestamps: with_timestamps.then_some(client_timestamp as TimestampSource),
     };
     let endpoint =
         TcpEndpoint::connect(source, destination, options).map_err(|_| OpenError::Local)?;
     let started = Instant::now();
-    let (near, far) = tokio::io::duplex(PIPE);
+    let (near, far) = tokio::io::duplex(PIPE_BYTES);
     let (opened, is_opened) = oneshot::channel();
     let fabric = fabric.clone();
     tokio::spawn(async move {
-        let sink = CallerSink(fabric.clone());
+        let sink = ClientSink(fabric.clone());
         let observer = OpenObserver(Some(opened));
         splice(endpoint, far, &mut packets, sink, observer, OPEN_TIMEOUT).await;
-        fabric.remove_caller(source);
+        fabric.remove_client(source);
     });
     match is_opened.await {
         Ok(()) => Ok(Connection { source, stream: near }),
@@ -127,25 +128,25 @@
     }
 }
 
-/// An HTTP client on a connection. The connection is closed when it is dropped.
+/// An HTTP client on a connection, which is closed when the client is dropped.
 pub struct HttpClient {
     /// Sends requests.
     pub sender: SendRequest<Empty<Bytes>>,
-    /// The caller's own address.
+    /// The client's address.
     pub source: SocketAddr,
     driver: tokio::task::JoinHandle<()>,
 }
 
 impl HttpClient {
-    /// Puts a client on an open connection.
+    /// Starts an HTTP client on an established connection.
     ///
     /// # Errors
-    /// When the client cannot start.
+    /// Fails if the HTTP handshake fails.
     pub async fn start(connection: Connection) -> hyper::Result<Self> {
         let source = connection.source;
         let (sender, connection) = handshake(TokioIo::new(connection.stream)).await?;
         let driver = tokio::spawn(async move {
-            // The caller's requests report the same error.
+            // The client's requests report the same error.
             let _ = connection.await;
         });
         Ok(Self { sender, source, driver })
@@ -158,8 +159,8 @@
     }
 }
 
-/// A caller's timestamp clock, in milliseconds.
-fn caller_timestamp() -> u32 {
+/// The clients' TCP timestamp clock, in milliseconds.
+fn client_timestamp() -> u32 {
     static STARTED: OnceLock<Instant> = OnceLock::new();
     STARTED.get_or_init(Instant::now).elapsed().as_millis() as u32
 }
--- a/crates/rehearsal/src/standin/fabric.rs
+++ b/crates/rehearsal/src/standin/fabric.rs
@@ -1,5 +1,5 @@
-//! The fabric: sprays each packet of each caller over the balancers that it
-//! believes to be live, and brings answers home.
+//! The fabric: sends each client packet to a random balancer among those that it
+//! considers live, and delivers replies to the clients.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,7 +13,7 @@
 
 use crate::standin::link::{CLIENTS, Destination, Network, ZoneMap, enlarge_receive_buffer};
 
-/// One balancer as the fabric knows it.
+/// A balancer that the fabric sends packets to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FabricMember {
     /// The balancer's data address.
@@ -24,11 +24,11 @@
 
 struct FabricState {
     members: Vec<FabricMember>,
-    callers: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
+    clients: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
     random: ChaCha8Rng,
 }
 
-/// The fabric. Cheap to clone.
+/// Handle to the fabric. Cheap to clone.
 #[derive(Clone)]
 pub struct Fabric {
     socket: Arc<UdpSocket>,
@@ -39,7 +39,8 @@
 }
 
 impl Fabric {
-    /// Binds the fabric on loopback and starts to bring answers home.
+    /// Binds the fabric to a loopback port and starts the thread that delivers
+    /// replies.
     pub fn start(
         network: Network,
         zones: ZoneMap,
@@ -51,23 +52,23 @@
         let address = socket.local_addr()?;
         let state = FabricState {
             members: Vec::new(),
-            callers: HashMap::new(),
+            clients: HashMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         let fabric = Self { socket, address, network, state: Arc::new(Mutex::new(state)), lag };
         let receiver = fabric.clone();
         std::thread::Builder::new()
             .name("fabric".to_owned())
-            .spawn(move || receiver.receive_answers(&zones))?;
+            .spawn(move || receiver.deliver_replies(&zones))?;
         Ok(fabric)
     }
 
-    /// The address that agents send answers to.
+    /// Returns the address that agents send replies to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the balancers after the fabric's lag.
+    /// Replaces the list of balancers after the fabric's lag.
     pub fn set_members(&self, members: Vec<FabricMember>) {
         let fabric = self.clone();
         tokio::spawn(async move {
@@ -76,19 +77,19 @@
         });
     }
 
-    /// Opens a caller's address; its packets arrive at the returned queue.
-    pub fn add_caller(&self, address: SocketAddr) -> mpsc::Receiver<Vec<u8>> {
+    /// Registers a client's address; its packets arrive at the returned queue.
+    pub fn add_client(&self, address: SocketAddr) -> mpsc::Receiver<Vec<u8>> {
         let (sender, receiver) = mpsc::channel(256);
-        self.lock().callers.insert(address, sender);
+        self.lock().clients.insert(address, sender);
         receiver
     }
 
-    /// Closes a caller's address.
-    pub fn remove_caller(&self, address: SocketAddr) {
-        self.lock().callers.remove(&address);
+    /// Unregisters a client's address.
+    pub fn remove_client(&self, address: SocketAddr) {
+        self.lock().clients.remove(&address);
     }
 
-    /// Sends a caller's packet to any balancer.
+    /// Sends a client's packet to a random balancer.
     pub fn send(&self, packet: &[u8]) {
         let member = {
             let mut state = self.lock();
@@ -104,10 +105,10 @@
         self.network.send(CLIENTS, &member.zone, &destination, packet);
     }
 
-    fn receive_answers(&self, zones: &ZoneMap) {
+    fn deliver_replies(&self, zones: &ZoneMap) {
         let mut datagram = [0; 2_048];
         loop {
-            // A closed port of a dead balancer surfaces as an error here.
+            // A packet sent to a closed port of a dead balancer causes an error here.
             let Ok((length, source)) = self.socket.recv_from(&mut datagram) else {
                 continue;
             };
@@ -117,19 +118,20 @@
             let Ok(view) = decode_packet(&datagram[..length]) else {
                 continue;
             };
-            let caller = self.lock().callers.get(&view.key.destination).cloned();
-            match caller {
+            let client = self.lock().clients.get(&view.key.destination).cloned();
+            match client {
                 Some(queue) => {
-                    let destination = Destination::Caller(queue);
+                    let destination = Destination::Client(queue);
                     self.network.send(&zone, CLIENTS, &destination, &datagram[..length]);
                 }
-                None => self.answer_for_host(&view),
+                None => self.send_host_reset(&view),
             }
         }
     }
 
-    /// A caller's host resets what belongs to no connection of its own.
-    fn answer_for_host(&self, view: &PacketView<'_>) {
+    /// Sends the reset with which a client's host answers a segment of an unknown
+    /// connection.
+    fn send_host_reset(&self, view: &PacketView<'_>) {
         let Some(segment) = view.tcp().filter(|segment| !segment.reset) else {
             return;
         };
--- a/crates/rehearsal/src/standin/link.rs
+++ b/crates/rehearsal/src/standin/link.rs
@@ -1,4 +1,5 @@
-//! The networks: delay, loss, duplication, reordering and cuts, from a seed.
+//! The simulated network: delay, loss, duplication, reordering and partitions,
+//! with randomness from a seed.
 
 use std::cmp::Ordering as Order;
 use std::collections::{BinaryHeap, HashSet};
@@ -13,14 +14,14 @@
 
 use crate::scenario::Network as NetworkSettings;
 
-/// The place that callers are in, beside the scenario's zones.
+/// Location of the clients, in addition to the scenario's zones.
 pub const CLIENTS: &str = "clients";
-/// Delay inside one zone.
+/// One-way delay within a zone.
 const SAME_ZONE_DELAY: Duration = Duration::from_micros(200);
-/// How long the delivery thread sleeps when nothing is under way.
-const IDLE_SLEEP: Duration = Duration::from_millis(100);
+/// How long the delivery thread waits if no packet is in transit.
+const IDLE_WAIT: Duration = Duration::from_millis(100);
 
-/// Where a packet ends up.
+/// The receiver of a packet.
 #[derive(Clone, Debug)]
 pub enum Destination {
     /// A process's UDP socket.
@@ -30,18 +31,18 @@
         /// Address to send to.
         address: SocketAddr,
     },
-    /// A caller inside this process.
-    Caller(async_mpsc::Sender<Vec<u8>>),
+    /// Queue of a client in this process.
+    Client(async_mpsc::Sender<Vec<u8>>),
 }
 
 impl Destination {
     fn deliver(self, packet: Vec<u8>) {
-        // A full queue or a closed port loses the packet, as a network would.
+        // A packet to a full queue or a closed port is lost, as in a real network.
         match self {
             Destination::Process { socket, address } => {
                 let _ = socket.send_to(&packet, address);
             }
-            Destination::Caller(queue) => {
+            Destination::Client(queue) => {
                 let _ = queue.try_send(packet);
             }
         }
@@ -69,100 +70,104 @@
     }
 }
 
-/// The earliest delivery is the greatest, as the heap gives the greatest first.
+/// Reverses the order, as the heap returns the greatest element first.
 impl Ord for Delivery {
     fn cmp(&self, other: &Self) -> Order {
         (other.due, other.order).cmp(&(self.due, self.order))
     }
 }
 
-struct Shape {
+struct NetworkState {
     random: ChaCha8Rng,
     cuts: HashSet<(String, String)>,
     order: u64,
 }
 
-/// Carries packets between places. Cheap to clone.
+/// Carries packets between locations. Cheap to clone.
 #[derive(Clone)]
 pub struct Network {
     settings: NetworkSettings,
-    shape: Arc<Mutex<Shape>>,
+    state: Arc<Mutex<NetworkState>>,
     deliveries: Sender<Delivery>,
 }
 
 impl Network {
-    /// Starts the delivery thread, which ends with the last clone.
+    /// Starts the delivery thread, which exits when the last clone is dropped.
     pub fn start(settings: NetworkSettings, seed: u64) -> std::io::Result<Self> {
         let (deliveries, receiver) = channel();
         std::thread::Builder::new()
             .name("network".to_owned())
             .spawn(move || deliver_all(&receiver))?;
-        let shape =
-            Shape { random: ChaCha8Rng::seed_from_u64(seed), cuts: HashSet::new(), order: 0 };
-        Ok(Self { settings, shape: Arc::new(Mutex::new(shape)), deliveries })
+        let state = NetworkState {
+            random: ChaCha8Rng::seed_from_u64(seed),
+            cuts: HashSet::new(),
+            order: 0,
+        };
+        Ok(Self { settings, state: Arc::new(Mutex::new(state)), deliveries })
     }
 
-    /// Sends one packet from one place to another.
+    /// Sends a packet from one location to another.
     pub fn send(&self, from: &str, to: &str, destination: &Destination, packet: &[u8]) {
-        let due = self.plan(from, to);
+        let due = self.schedule(from, to);
         for (due, order) in due {
             let delivery =
                 Delivery { due, order, destination: destination.clone(), packet: packet.to_vec() };
-            // The thread is gone only when the process is ending.
+            // The thread lives as long as this handle, except at process exit.
             let _ = self.deliveries.send(delivery);
         }
     }
 
-    /// Cuts two places off from each other, or joins them again.
+    /// Partitions two locations from each other, or reconnects them.
     pub fn set_cut(&self, one: &str, other: &str, cut: bool) {
-        let mut shape = self.shape.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         for pair in [(one, other), (other, one)] {
             let pair = (pair.0.to_owned(), pair.1.to_owned());
             if cut {
-                shape.cuts.insert(pair);
+                state.cuts.insert(pair);
             } else {
-                shape.cuts.remove(&pair);
+                state.cuts.remove(&pair);
             }
         }
     }
 
-    /// When the copies of one packet arrive; none if it is lost.
-    fn plan(&self, from: &str, to: &str) -> Vec<(Instant, u64)> {
+    /// Returns when each copy of a packet arrives, with a sequence number as a
+    /// tie-breaker; empty if the packet is lost.
+    fn schedule(&self, from: &str, to: &str) -> Vec<(Instant, u64)> {
         let now = Instant::now();
-        let mut shape = self.shape.lock().unwrap_or_else(PoisonError::into_inner);
-        if !shape.cuts.is_empty() && shape.cuts.contains(&(from.to_owned(), to.to_owned())) {
+        let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+        if !state.cuts.is_empty() && state.cuts.contains(&(from.to_owned(), to.to_owned())) {
             return Vec::new();
         }
-        let client_side = from == CLIENTS || to == CLIENTS;
+        let involves_clients = from == CLIENTS || to == CLIENTS;
         let settings = &self.settings;
-        let loss = if client_side { settings.client_loss } else { settings.zone_loss };
-        if shape.random.random_bool(loss) {
+        let loss = if involves_clients { settings.client_loss } else { settings.zone_loss };
+        if state.random.random_bool(loss) {
             return Vec::new();
         }
-        let copies = 1 + usize::from(shape.random.random_bool(settings.duplicate));
-        let base = self.base_delay(from, to, client_side);
+        let copies = 1 + usize::from(state.random.random_bool(settings.duplicate));
+        let base = self.base_delay(from, to, involves_clients);
         let mut deliveries: Vec<(Instant, u64)> = (0..copies)
             .map(|_| {
                 let mut delay = base;
-                if shape.random.random_bool(settings.reorder) {
-                    let further = settings.reorder_delay_ms * shape.random.random::<f64>();
-                    delay += Duration::from_secs_f64(further / 1_000.0);
+                if state.random.random_bool(settings.reorder) {
+                    let extra = settings.reorder_delay_ms * state.random.random::<f64>();
+                    delay += Duration::from_secs_f64(extra / 1_000.0);
                 }
-                shape.order += 1;
-                (now + delay, shape.order)
+                state.order += 1;
+                (now + delay, state.order)
             })
             .collect();
-        if shape.random.random_bool(settings.late_copy) {
-            let late = settings.late_copy_delay_ms * shape.random.random::<f64>();
-            shape.order += 1;
+        if state.random.random_bool(settings.late_copy) {
+            let late = settings.late_copy_delay_ms * state.random.random::<f64>();
+            state.order += 1;
             let due = now + base + Duration::from_secs_f64(late / 1_000.0);
-            deliveries.push((due, shape.order));
+            deliveries.push((due, state.order));
         }
         deliveries
     }
 
-    fn base_delay(&self, from: &str, to: &str, client_side: bool) -> Duration {
-        let milliseconds = if client_side {
+    fn base_delay(&self, from: &str, to: &str, involves_clients: bool) -> Duration {
+        let milliseconds = if involves_clients {
             self.settings.client_delay_ms
         } else if from == to {
             return SAME_ZONE_DELAY;
@@ -183,7 +188,7 @@
             }
         }
         let sleep =
-            waiting.peek().map_or(IDLE_SLEEP, |next| next.due.saturating_duration_since(now));
+            waiting.peek().map_or(IDLE_WAIT, |next| next.due.saturating_duration_since(now));
         match receiver.recv_timeout(sleep) {
             Ok(delivery) => waiting.push(delivery),
             Err(RecvTimeoutError::Timeout) => {}
@@ -193,28 +198,28 @@
     }
 }
 
-/// A place that processes send through: forwards every datagram that arrives
-/// at its own address to one process, as the network sees fit.
+/// A UDP proxy in front of one process: forwards every datagram that arrives at
+/// its own address through the simulated network.
 pub struct LinkProxy {
     socket: Arc<UdpSocket>,
     address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-/// Which zone each process's socket address is in; filled as processes start.
+/// The zone of each process's socket address; filled as processes start.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneMap {
     zones: Arc<Mutex<std::collections::HashMap<SocketAddr, String>>>,
 }
 
 impl ZoneMap {
-    /// Notes the zone of an address.
+    /// Sets the zone of an address.
     pub fn set(&self, address: SocketAddr, zone: &str) {
         let mut zones = self.zones.lock().unwrap_or_else(PoisonError::into_inner);
         zones.insert(address, zone.to_owned());
     }
 
-    /// The zone of an address, if known.
+    /// Returns the zone of an address, if known.
     pub fn get(&self, address: SocketAddr) -> Option<String> {
         let zones = self.zones.lock().unwrap_or_else(PoisonError::into_inner);
         zones.get(&address).cloned()
@@ -222,7 +227,7 @@
 }
 
 impl LinkProxy {
-    /// Binds a proxy on loopback.
+    /// Binds a proxy to a loopback port.
     pub fn bind() -> std::io::Result<Self> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         enlarge_receive_buffer(&socket);
@@ -230,17 +235,17 @@
         Ok(Self { socket: Arc::new(socket), address, target: Arc::default() })
     }
 
-    /// The address that others send to.
+    /// Returns the address that other processes send to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Forwards to another process from now on.
+    /// Forwards to the process at `target` from now on.
     pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap_or_else(PoisonError::into_inner) = Some(target);
     }
 
-    /// Starts to forward to the process at `target` in `zone`.
+    /// Starts forwarding to the process at `target` in `zone`.
     pub fn forward_to(
         &self,
         target: SocketAddr,
@@ -254,7 +259,7 @@
         std::thread::Builder::new().name("link".to_owned()).spawn(move || {
             let mut datagram = [0; 2_048];
             loop {
-                // A closed port of a dead agent surfaces as an error here.
+                // A packet sent to a closed port of a dead agent causes an error here.
                 let Ok((length, source)) = socket.recv_from(&mut datagram) else {
                     continue;
                 };
@@ -269,7 +274,7 @@
     }
 }
 
-/// Asks the kernel for a large receive buffer; it grants what its limit allows.
+/// Requests a receive buffer of 8 MiB; the kernel may grant less.
 pub fn enlarge_receive_buffer(socket: &UdpSocket) {
     let _ = socket2::SockRef::from(socket).set_recv_buffer_size(8 << 20);
 }
--- a/crates/rehearsal/src/standin/mod.rs
+++ b/crates/rehearsal/src/standin/mod.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for the systems that the product meets.
+//! Stand-ins for the systems around the load balancer: clients, the fabric, the
+//! network, back ends and the platform.
 
 pub mod back_end;
-pub mod caller;
+pub mod client;
 pub mod fabric;
 pub mod link;
 pub mod platform;
--- a/crates/rehearsal/src/standin/platform.rs
+++ b/crates/rehearsal/src/standin/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: a read-only HTTP service with the configuration document and
-//! the machine list, which can go stale or away.
+//! The platform: a read-only HTTP service for the configuration document and the
+//! machine list, which can serve stale data or fail.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use tokio::net::TcpListener;
 use weirhinge_config::{ConfigDocument, MachineList};
 
-/// How the platform behaves.
+/// Behaviour of the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformMode {
-    /// Serves what it was last given.
+    /// Serves the latest document.
     Fresh,
-    /// Serves the first document that it was given.
+    /// Serves the first published document.
     Stale,
-    /// Accepts connections and closes them without an answer.
+    /// Accepts connections and closes them without a response.
     Down,
 }
 
@@ -32,7 +32,7 @@
     machines: MachineList,
 }
 
-/// The platform. Cheap to clone.
+/// Handle to the platform. Cheap to clone.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -40,7 +40,7 @@
 }
 
 impl Platform {
-    /// Starts the service on loopback.
+    /// Starts the service on a loopback port.
     pub async fn start() -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,24 +55,24 @@
         Ok(platform)
     }
 
-    /// The address that daemons read from.
+    /// Returns the address that daemons read from.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Serves a new document from now on.
+    /// Publishes a new document.
     pub fn publish(&self, document: ConfigDocument) {
         let mut state = self.lock();
         state.first.get_or_insert_with(|| document.clone());
         state.document = document;
     }
 
-    /// The newest document given, whatever is served.
+    /// Returns the latest published document, even if the mode is stale or down.
     pub fn document(&self) -> ConfigDocument {
         self.lock().document.clone()
     }
 
-    /// Serves a new machine list from now on.
+    /// Publishes a new machine list.
     pub fn set_machines(&self, machines: MachineList) {
         self.lock().machines = machines;
     }
@@ -93,18 +93,20 @@
             let platform = self.clone();
             tokio::spawn(async move {
                 let service = service_fn(|request| {
-                    let response = platform.answer(&request);
+                    let response = platform.respond(&request);
                     async move { Ok::<_, Infallible>(response) }
                 });
-                // A daemon that goes away in the middle is no fault of the platform.
+                // A daemon that disconnects early is not an error here.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         match request.uri().path() {
-            weirhinge_document_source::CONFIGURATION_PATH => self.answer_configuration(request),
+            weirhinge_document_source::CONFIGURATION_PATH => {
+                self.respond_with_configuration(request)
+            }
             weirhinge_document_source::MACHINES_PATH => {
                 json(serde_json::to_vec(&self.lock().machines).unwrap_or_default(), None)
             }
@@ -112,7 +114,7 @@
         }
     }
 
-    fn answer_configuration(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    fn respond_with_configuration(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let state = self.lock();
         let document = match (state.mode, &state.first) {
             (PlatformMode::Stale, Some(first)) => first,
--- a/crates/rehearsal/src/verdict.rs
+++ b/crates/rehearsal/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges each promise by what was recorded on both sides.
+//! Evaluates each promise against what clients and back ends recorded.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,71 +9,71 @@
 use crate::sampler::{Imbalance, Window, imbalance};
 use crate::scrape::Counters;
 
-/// A leaving target may still take new flows for this long.
+/// Time for which a draining target may still accept new flows.
 const DRAIN_GRACE: Duration = Duration::from_secs(3);
-/// Broken or refused flows listed in a verdict at most.
-const LISTED: usize = 5;
+/// Maximum number of broken or refused flows listed in a verdict.
+const MAX_LISTED: usize = 5;
 
-/// Slots in use of one service over the rehearsal.
+/// Slots in use at one service during the rehearsal.
 #[derive(Clone, Debug)]
 pub struct ServiceWindows {
     /// Name of the service.
     pub service: String,
-    /// Its whole windows.
+    /// Its complete windows.
     pub windows: Vec<Window>,
 }
 
-/// The outcome of a rehearsal; one JSON object, field by field.
+/// The outcome of a rehearsal. Printed as a JSON object with these fields.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// Whether every promise held.
     pub held: bool,
-    /// Flows that callers opened.
+    /// Flows that clients opened.
     pub flows_opened: u64,
-    /// Flows that broke although no machine that held them died.
+    /// Flows that broke although no agent that held them was killed.
     pub flows_broken: u64,
     /// Flows that were lost with a killed agent.
     pub flows_lost_with_machine: u64,
-    /// Flows that could not be opened; nothing was sent on them.
+    /// Flows that could not be opened, so that no request was sent on them.
     pub flows_refused: u64,
-    /// Feed updates received, each in its place.
+    /// Feed updates received in the correct order.
     pub feed_updates: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub requests_answered: u64,
-    /// Requests that a caller was told did not run.
+    /// Requests that were reported to their client as not run.
     pub requests_not_run: u64,
     /// Requests that ran more than once.
     pub requests_doubled: u64,
-    /// Requests that arrived at another service.
+    /// Requests that arrived at a back end of another service.
     pub packets_misrouted: u64,
-    /// Answers that belonged to another request or were damaged.
+    /// Answers that belonged to another request or were corrupted.
     pub answers_crossed: u64,
-    /// Requests that ran although their caller was told otherwise.
+    /// Requests that ran although they were reported as not run.
     pub refused_but_ran: u64,
-    /// Connections that a leaving target accepted after 3 s.
+    /// Connections that a draining target accepted more than 3 s after the drain.
     pub late_admissions: u64,
     /// Median imbalance of each service over windows of 1 s.
     pub imbalance: BTreeMap<String, f64>,
-    /// 99th percentile of the same.
+    /// 99th percentile of each service's imbalance over windows of 1 s.
     pub imbalance_p99: BTreeMap<String, f64>,
     /// Median latency of answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the latency of answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// The first broken flows, for finding the cause.
+    /// The first broken flows, for diagnosis.
     pub first_breaks: Vec<String>,
     /// The first flows that could not be opened.
     pub first_refusals: Vec<String>,
-    /// The faults that were carried out.
+    /// The injected faults.
     pub faults: Vec<String>,
-    /// The daemons' own counters, summed over those that live at the end.
+    /// The daemons' counters, summed over the daemons still running at the end.
     pub counters: Counters,
 }
 
-/// Judges a record.
-pub fn judge(record: &Record, services: &[ServiceWindows], counters: Counters) -> Verdict {
+/// Evaluates a record against every promise.
+pub fn evaluate(record: &Record, services: &[ServiceWindows], counters: Counters) -> Verdict {
     let (lost, broken): (Vec<_>, Vec<_>) =
-        record.broken.iter().partition(|broken| lost_with_machine(record, broken));
+        record.broken.iter().partition(|broken| is_lost_with_machine(record, broken));
     let mut verdict = Verdict {
         held: false,
         flows_opened: record.flows_opened,
@@ -82,18 +82,22 @@
         flows_refused: record.refused.len() as u64,
         feed_updates: record.feed_updates,
         requests_answered: record.answered,
-        requests_not_run: record.told_not_run.len() as u64,
+        requests_not_run: record.reported_not_run.len() as u64,
         requests_doubled: record.runs.values().filter(|&&runs| runs > 1).count() as u64,
         packets_misrouted: record.misrouted,
-        answers_crossed: record.crossed,
+        answers_crossed: record.wrong_answers,
         refused_but_ran: refused_but_ran(record),
         late_admissions: late_admissions(record),
         imbalance: BTreeMap::new(),
         imbalance_p99: BTreeMap::new(),
         p50_ms: milliseconds(record.latencies.value_at_quantile(0.5)),
         p99_ms: milliseconds(record.latencies.value_at_quantile(0.99)),
-        first_breaks: broken.iter().take(LISTED).map(|broken| describe(record, broken)).collect(),
-        first_refusals: record.refused.iter().take(LISTED).map(describe_event).collect(),
+        first_breaks: broken
+            .iter()
+            .take(MAX_LISTED)
+            .map(|broken| describe_broken_flow(record, broken))
+            .collect(),
+        first_refusals: record.refused.iter().take(MAX_LISTED).map(describe_event).collect(),
         faults: record.faults.iter().map(describe_event).collect(),
         counters,
     };
@@ -108,31 +112,31 @@
     verdict
 }
 
-/// One promise and how often it was violated.
+/// A promise and the number of its violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromiseResult {
-    /// The promise.
+    /// Description of the promise.
     pub promise: &'static str,
-    /// Violations seen.
+    /// Number of violations.
     pub violations: u64,
 }
 
 impl Verdict {
-    /// Every promise that a rehearsal checks.
+    /// Returns the result of every promise that a rehearsal checks.
     pub fn promises(&self) -> [PromiseResult; 6] {
         let result = |promise, violations| PromiseResult { promise, violations };
         [
             result("open flows survive", self.flows_broken),
             result("no packet reaches another service", self.packets_misrouted),
-            result("callers get whole answers to their own requests", self.answers_crossed),
-            result("told not run means not run", self.refused_but_ran),
-            result("nothing runs twice", self.requests_doubled),
-            result("a leaving target takes nothing new after 3 s", self.late_admissions),
+            result("clients get complete answers to their own requests", self.answers_crossed),
+            result("requests reported as not run did not run", self.refused_but_ran),
+            result("no request runs twice", self.requests_doubled),
+            result("a draining target accepts no new flows after 3 s", self.late_admissions),
         ]
     }
 }
 
-fn lost_with_machine(record: &Record, broken: &BrokenFlow) -> bool {
+fn is_lost_with_machine(record: &Record, broken: &BrokenFlow) -> bool {
     let at = record.started + broken.at;
     record
         .killed_agents
@@ -140,14 +144,15 @@
         .any(|&(target, killed)| holders(record, broken).contains(&target) && at >= killed)
 }
 
-/// The targets that accepted a connection for a broken flow's caller.
+/// Returns the targets that accepted a connection of a broken flow's client.
 fn holders<'a>(record: &'a Record, broken: &BrokenFlow) -> &'a [usize] {
-    let holders = broken.caller.and_then(|caller| record.holders.get(&caller));
+    let holders = broken.client.and_then(|client| record.holders.get(&client));
     holders.map_or(&[], Vec::as_slice)
 }
 
 fn refused_but_ran(record: &Record) -> u64 {
-    record.told_not_run.iter().filter(|request| record.runs.contains_key(request)).count() as u64
+    record.reported_not_run.iter().filter(|request| record.runs.contains_key(request)).count()
+        as u64
 }
 
 fn late_admissions(record: &Record) -> u64 {
@@ -163,14 +168,14 @@
         .count() as u64
 }
 
-fn describe(record: &Record, broken: &BrokenFlow) -> String {
+fn describe_broken_flow(record: &Record, broken: &BrokenFlow) -> String {
     let at = broken.at.as_secs_f64();
-    let caller = broken.caller.map_or("unknown".to_owned(), |caller| caller.to_string());
+    let client = broken.client.map_or("unknown".to_owned(), |client| client.to_string());
     let holders = holders(record, broken);
     let BrokenFlow { kind, request, reason, .. } = broken;
     let ran = request.and_then(|request| record.runs.get(&request)).copied().unwrap_or(0);
     format!(
-        "{at:.3} s: {kind:?} flow of {caller}, request {request:?} ran {ran} times, \
+        "{at:.3} s: {kind:?} flow of {client}, request {request:?} ran {ran} times, \
          connections at targets {holders:?}: {reason}"
     )
 }
--- a/crates/rehearsal/tests/checks.rs
+++ b/crates/rehearsal/tests/checks.rs
@@ -9,17 +9,17 @@
 use weirhinge_rehearsal::sampler::{Window, imbalance};
 use weirhinge_rehearsal::scenario::Scenario;
 use weirhinge_rehearsal::scrape::Counters;
-use weirhinge_rehearsal::verdict::{Verdict, judge};
+use weirhinge_rehearsal::verdict::{Verdict, evaluate};
 
 fn verdict(plant: impl FnOnce(&History)) -> Verdict {
     let history = History::new().expect("history");
     for request in 1..=3 {
-        history.ran(request);
-        history.answered(Duration::from_millis(10));
+        history.record_run(request);
+        history.record_answer(Duration::from_millis(10));
     }
     plant(&history);
     let record = history.lock();
-    judge(&record, &[], Counters::new())
+    evaluate(&record, &[], Counters::new())
 }
 
 #[test]
@@ -30,35 +30,35 @@
 #[test]
 fn an_empty_record_proves_nothing() {
     let history = History::new().expect("history");
-    assert!(!judge(&history.lock(), &[], Counters::new()).held);
+    assert!(!evaluate(&history.lock(), &[], Counters::new()).held);
 }
 
 #[test]
 fn each_violation_is_noticed() {
-    let doubled = verdict(|history| history.ran(2));
+    let doubled = verdict(|history| history.record_run(2));
     assert_eq!((doubled.held, doubled.requests_doubled), (false, 1));
-    let lied = verdict(|history| history.told_not_run(3));
+    let lied = verdict(|history| history.record_not_run(3));
     assert_eq!((lied.held, lied.refused_but_ran), (false, 1));
-    let truthful = verdict(|history| history.told_not_run(4));
+    let truthful = verdict(|history| history.record_not_run(4));
     assert_eq!((truthful.held, truthful.requests_not_run), (true, 1));
-    let crossed = verdict(|history| history.lock().crossed = 1);
-    assert_eq!((crossed.held, crossed.answers_crossed), (false, 1));
+    let wrong_answers = verdict(|history| history.lock().wrong_answers = 1);
+    assert_eq!((wrong_answers.held, wrong_answers.answers_crossed), (false, 1));
     let misrouted = verdict(|history| history.lock().misrouted = 1);
     assert_eq!((misrouted.held, misrouted.packets_misrouted), (false, 1));
-    let broken = verdict(|history| history.broken(FlowKind::Feed, None, None, "reset"));
+    let broken = verdict(|history| history.record_broken_flow(FlowKind::Feed, None, None, "reset"));
     assert_eq!((broken.held, broken.flows_broken), (false, 1));
 }
 
 #[test]
 fn only_the_dead_agents_own_flows_count_as_lost_with_it() {
     let verdict = verdict(|history| {
-        let caller = |port| SocketAddr::from(([198, 18, 0, 1], port));
-        history.accepted(1, caller(1));
-        history.accepted(2, caller(2));
+        let client = |port| SocketAddr::from(([198, 18, 0, 1], port));
+        history.record_accepted(1, client(1));
+        history.record_accepted(2, client(2));
         history.lock().killed_agents.push((1, Instant::now()));
         std::thread::sleep(Duration::from_millis(2));
-        history.broken(FlowKind::Feed, Some(caller(1)), None, "held by the dead agent");
-        history.broken(FlowKind::Feed, Some(caller(2)), None, "held elsewhere");
+        history.record_broken_flow(FlowKind::Feed, Some(client(1)), None, "held by the dead agent");
+        history.record_broken_flow(FlowKind::Feed, Some(client(2)), None, "held elsewhere");
     });
     assert_eq!((verdict.flows_lost_with_machine, verdict.flows_broken), (1, 1));
 }
--- a/crates/rehearsal/tests/promises.rs
+++ b/crates/rehearsal/tests/promises.rs
@@ -141,7 +141,7 @@
 /// One agent cannot be reached for 2 s, as another has its address.
 ///
 /// Beside load, one feed of 1,117 flows never began. An opening packet that was offered to
-/// the unreachable agent was lost; the caller's repetitions went the same way and doubled its
+/// the unreachable agent was lost; the client's repetitions went the same way and doubled its
 /// time-out to 4 s, after which a request that was lost as well came too late. Agents' debug
 /// lines of such a feed: "passed on to [(0, Offered" from owner and deputy at 0, 1 and 3 s,
 /// "Flow is open" after the third, and the request at 7 s.
@@ -159,14 +159,14 @@
 
 /// Each agent in turn cannot be reached for 0.7 s, while its own packets still leave.
 ///
-/// Feeds of callers without TCP timestamps never began: no update came within 4 s. Opening
-/// packets were lost with the agent that they were offered to, and the caller's repetitions
-/// with the same or the next one; each doubled the caller's time-out. The first request went
+/// Feeds of clients without TCP timestamps never began: no update came within 4 s. Opening
+/// packets were lost with the agent that they were offered to, and the client's repetitions
+/// with the same or the next one; each doubled the client's time-out. The first request went
 /// to an owner that could not be reached, and was repeated only 4 s later. Agents' debug lines:
 /// "passed on to [(0, Offered" from the owner and, 250 ms later, from the deputy, and no
 /// "admitted" before the third SYN. With that mended, two feeds in 25 runs were left: the
 /// request was lost by the network, 1 s later with the owner, 3 s later with the holder
-/// ("wrong_service" at agents that had their addresses). Such callers' packets go straight to
+/// ("wrong_service" at agents that had their addresses). Such clients' packets go straight to
 /// the holder now.
 const ADDRESSES_CHANGE_HANDS_IN_TURN: &str = "faults = [
     { at = 1.5, action = { misdirect-target = { target = 0, to = 4, seconds = 0.7 } } },
@@ -188,7 +188,7 @@
 }
 
 /// The same where the network itself loses nothing: whatever is lost, an agent that cannot be
-/// reached has swallowed. All callers are without timestamps, as those were hit.
+/// reached has swallowed. All clients are without timestamps, as those were hit.
 fn without_loss(text: &str) -> String {
     text.replace("client_loss = 0.01", "client_loss = 0.0")
         .replace("zone_loss = 0.001", "zone_loss = 0.0")
@@ -223,7 +223,7 @@
     assert_held(&verdict);
 }
 
-/// As callers of long flows, whose numbers name their holder no longer.
+/// As clients of long flows, whose numbers name their holder no longer.
 #[cfg(feature = "planted-defects")]
 #[tokio::test(flavor = "multi_thread")]
 async fn owners_change_under_callers_that_name_no_holder() {
--- a/crates/rehearsal/tests/udp.rs
+++ b/crates/rehearsal/tests/udp.rs
@@ -67,12 +67,12 @@
     }
 }
 
-struct Caller {
+struct Client {
     socket: UdpSocket,
     balancer: SocketAddr,
 }
 
-impl Caller {
+impl Client {
     /// Sends on one flow until an answer comes; returns the answering back end.
     fn ask(&self, port: u16, question: &[u8]) -> u8 {
         // The builder writes answers, from destination to source.
@@ -141,9 +141,9 @@
     zones.set(balancer.addresses.data, "one");
     // Agents take flows once everybody knows them.
     tokio::time::sleep(Duration::from_millis(4_500)).await;
-    let caller = Caller { socket, balancer: balancer.addresses.data };
+    let client = Client { socket, balancer: balancer.addresses.data };
 
-    let before: Vec<u8> = (0..FLOWS).map(|flow| caller.ask(1_000 + flow, b"before")).collect();
+    let before: Vec<u8> = (0..FLOWS).map(|flow| client.ask(1_000 + flow, b"before")).collect();
     assert!(before.contains(&0) && before.contains(&1) && before.contains(&2), "{before:?}");
 
     let mut draining = first;
@@ -151,8 +151,8 @@
     draining.targets[0].state = TargetState::Draining;
     platform.publish(draining);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    let after: Vec<u8> = (0..FLOWS).map(|flow| caller.ask(1_000 + flow, b"after")).collect();
+    let after: Vec<u8> = (0..FLOWS).map(|flow| client.ask(1_000 + flow, b"after")).collect();
     assert_eq!(before, after, "open flows stay where they are");
-    let new: Vec<u8> = (0..FLOWS).map(|flow| caller.ask(2_000 + flow, b"new")).collect();
+    let new: Vec<u8> = (0..FLOWS).map(|flow| client.ask(2_000 + flow, b"new")).collect();
     assert!(!new.contains(&0), "a draining target takes no new flow: {new:?}");
 }
