--- a/crates/agent/src/dispatch/holders.rs
+++ b/crates/agent/src/dispatch/holders.rs
@@ -1,4 +1,4 @@
-//! Decisions about later packets: who holds a flow that is not open here.
+//! Decisions about packets of flows that are not open here: which agent holds the flow.
 
 use std::time::{Duration, Instant};
 
@@ -7,43 +7,43 @@
 use weirhinge_packet::{FlowKey, TcpSegment};
 use weirhinge_wire::{Delivery, HolderAnswer, HolderQuery, Holding};
 
-use super::{Announcement, Arrival, Dispatch, Dispatcher, MAXIMUM_HOPS, PassOn, reset};
-use crate::plant::Plant;
+use super::{Announcement, Arrival, Decision, Dispatcher, MAX_HOPS, NextHop, reset};
+use crate::planted_defect::PlantedDefect;
 
-/// How long after a change of configuration a UDP flow may have another holder;
-/// the idle time-out of UDP flows.
+/// Idle timeout of UDP flows, and thus how long after a configuration change a UDP flow may still
+/// have its previous holder.
 pub const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A flow that is still opening this long after its admission may have been won
-/// by another agent: then the others are asked.
-const SUSPICIOUS_OPENING: Duration = Duration::from_millis(500);
+/// A flow that is still half-open this long after its admission may be open at another agent, so
+/// the other agents are queried.
+const SUSPICIOUS_OPENING_AGE: Duration = Duration::from_millis(500);
 
 impl<H> Dispatcher<H> {
-    /// A packet of a flow that is opening here. The caller may have taken up
-    /// another agent's answer instead; then its packets belong there.
-    pub(super) fn deliver_to_opening(&mut self, arrival: &Arrival<'_>, age: Duration) -> Dispatch {
+    /// Handles a packet of a flow that is half-open here. The client may have taken up another
+    /// agent's answer instead; then its packets belong to that agent.
+    pub(super) fn deliver_to_opening(&mut self, arrival: &Arrival<'_>, age: Duration) -> Decision {
         let key = arrival.view.key;
         let opens = arrival.view.tcp().is_some_and(TcpSegment::opens_flow);
         if opens || arrival.envelope.delivery == Delivery::Forwarded {
-            return Dispatch::Deliver(key);
+            return Decision::Deliver(key);
         }
-        let suspicious = age >= SUSPICIOUS_OPENING || self.directory.has_claim(&key);
+        let suspicious = age >= SUSPICIOUS_OPENING_AGE || self.directory.has_claim(&key);
         if !suspicious {
-            // Another agent's claim may still be on its way.
+            // Another agent's claim may still arrive.
             self.directory.buffer_for_claimants(&key, arrival.envelope.packet, arrival.now);
-            return Dispatch::Deliver(key);
+            return Decision::Deliver(key);
         }
         let further = match self.locate(arrival) {
-            LookupStep::Query => self.ask(arrival),
+            LookupStep::Query => self.query_holders(arrival),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
-            LookupStep::Wait | LookupStep::Absent => return Dispatch::Deliver(key),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
+            LookupStep::Wait | LookupStep::Absent => return Decision::Deliver(key),
         };
-        Dispatch::Several(vec![Dispatch::Deliver(key), further])
+        Decision::Multiple(vec![Decision::Deliver(key), further])
     }
 
-    /// Notes that the handshake of a flow held here is complete. Packets without
-    /// timestamps carry no hint and go to the bucket's owner, which is told.
-    pub fn opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
+    /// Notes that the handshake of a flow held here is complete. Packets without timestamps may
+    /// carry no holder hint and go to the bucket's owner, so the owner is notified.
+    pub fn note_opened(&mut self, key: &FlowKey, has_timestamps: bool) -> Option<Announcement> {
         self.flows.mark_open(key, has_timestamps);
         self.directory.forget(key);
         if has_timestamps {
@@ -52,7 +52,7 @@
         self.announcement(key, Holding::Open)
     }
 
-    /// What to tell the owner of the flow's bucket, if that is another agent.
+    /// Returns the announcement for the owner of the flow's bucket, if that is another agent.
     pub(super) fn announcement(&self, key: &FlowKey, holding: Holding) -> Option<Announcement> {
         self.announcement_to(self.owner(key)?, key, holding)
     }
@@ -77,49 +77,59 @@
         Some(HolderAnswer { service, from: self.own_target.0, revision, flow, holding })
     }
 
-    /// A later packet of a TCP flow that is not held here.
-    pub(super) fn unknown_tcp(&mut self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Dispatch {
+    /// Handles a packet, not an opening one, of a TCP flow that is not held here.
+    pub(super) fn handle_unknown_tcp(
+        &mut self,
+        arrival: &Arrival<'_>,
+        segment: &TcpSegment,
+    ) -> Decision {
         if self.flows.is_quarantined(&arrival.view.key, arrival.now) {
             return reset(&arrival.view.key, segment, "ended_flow");
         }
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
-        if self.plant == Some(Plant::ResetUnknown) {
+        if self.planted_defect == Some(PlantedDefect::ResetUnknown) {
             return reset(&arrival.view.key, segment, "planted");
         }
-        if let Some(owner) = self.owner_of_misnamed(arrival, segment) {
+        if let Some(owner) = self.owner_of_misdirected(arrival, segment) {
             return self.pass_on(arrival, owner, Delivery::Owner);
         }
         match self.locate(arrival) {
-            LookupStep::Query => self.ask(arrival),
-            LookupStep::Wait => Dispatch::Drop("awaiting_holder"),
+            LookupStep::Query => self.query_holders(arrival),
+            LookupStep::Wait => Decision::Drop("awaiting_holder"),
             LookupStep::Forward(holders) => self.forward(arrival, &holders),
-            LookupStep::ForwardAndQuery(holders) => self.forward_and_ask(arrival, &holders),
-            LookupStep::Absent if self.is_stale() => Dispatch::Drop("stale_view"),
+            LookupStep::ForwardAndQuery(holders) => self.forward_and_query(arrival, &holders),
+            LookupStep::Absent if self.is_stale() => Decision::Drop("stale_view"),
             LookupStep::Absent => reset(&arrival.view.key, segment, "unknown_flow"),
         }
     }
 
-    /// The owner of a flow whose numbers name this agent though it does not hold the flow,
-    /// as those of a long flow come to: the owner knows the holder, or asks.
-    fn owner_of_misnamed(&self, arrival: &Arrival<'_>, segment: &TcpSegment) -> Option<TargetId> {
-        let by_number =
+    /// Returns the owner of a flow whose sequence numbers name this agent although it does not hold
+    /// the flow. The numbers of a long flow advance until they name another target. The owner knows
+    /// the holder or queries for it.
+    fn owner_of_misdirected(
+        &self,
+        arrival: &Arrival<'_>,
+        segment: &TcpSegment,
+    ) -> Option<TargetId> {
+        let hinted_by_sequence =
             arrival.envelope.delivery == Delivery::Hinted && segment.timestamp_echo.is_none();
-        self.owner(&arrival.view.key).filter(|&owner| by_number && owner != self.own_target)
+        self.owner(&arrival.view.key)
+            .filter(|&owner| hinted_by_sequence && owner != self.own_target)
     }
 
-    /// Another agent believes that the flow is held here: the bucket's owner, as
-    /// a rule, is told that it is not.
-    pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Dispatch {
+    /// Answers a forwarded packet whose flow is not held here. Another agent, usually the bucket's
+    /// owner, assumes that it is; the owner is notified that it is not.
+    pub(super) fn deny_forwarded(&self, arrival: &Arrival<'_>) -> Decision {
         match self.announcement(&arrival.view.key, Holding::Not) {
-            Some(Announcement { agent, answer }) => Dispatch::Answer { agent, answer },
-            None => Dispatch::Drop("not_held"),
+            Some(Announcement { agent, answer }) => Decision::Answer { agent, answer },
+            None => Decision::Drop("not_held"),
         }
     }
 
-    /// A packet of a UDP flow that is not held here, first or later.
-    pub(super) fn unknown_udp(&mut self, arrival: &Arrival<'_>) -> Dispatch {
+    /// Handles a packet of a UDP flow that is not held here, whether the flow is new or not.
+    pub(super) fn handle_unknown_udp(&mut self, arrival: &Arrival<'_>) -> Decision {
         if arrival.envelope.delivery == Delivery::Forwarded {
             return self.deny_forwarded(arrival);
         }
@@ -132,39 +142,46 @@
         let changed = arrival.now.saturating_duration_since(self.last_change);
         if changed < UDP_IDLE_TIMEOUT {
             match self.locate(arrival) {
-                LookupStep::Query => return self.ask(arrival),
-                LookupStep::Wait => return Dispatch::Drop("awaiting_holder"),
+                LookupStep::Query => return self.query_holders(arrival),
+                LookupStep::Wait => return Decision::Drop("awaiting_holder"),
                 LookupStep::Forward(holders) => return self.forward(arrival, &holders),
                 LookupStep::ForwardAndQuery(holders) => {
-                    return self.forward_and_ask(arrival, &holders);
+                    return self.forward_and_query(arrival, &holders);
                 }
-                LookupStep::Absent if self.is_stale() => return Dispatch::Drop("stale_view"),
+                LookupStep::Absent if self.is_stale() => return Decision::Drop("stale_view"),
                 LookupStep::Absent => {}
             }
         }
         if !self.own_load(arrival).has_capacity() {
-            return Dispatch::Drop(RefusalReason::NoCapacity.name());
+            return Decision::Drop(RefusalReason::NoCapacity.name());
         }
         match self.flows.check_insert(&arrival.view.key, arrival.now) {
             Ok(()) => self.admit(arrival),
-            Err(error) => Dispatch::Drop(error.name()),
+            Err(error) => Decision::Drop(error.name()),
         }
     }
 
+    /// Looks up which agents may hold the packet's flow. The directory buffers the packet while the
+    /// holder is unknown.
     pub(super) fn locate(&mut self, arrival: &Arrival<'_>) -> LookupStep {
-        let others = self.others();
-        self.directory.locate(&arrival.view.key, &others, arrival.envelope.packet, arrival.now)
+        let other_targets = self.other_targets();
+        self.directory.locate(
+            &arrival.view.key,
+            &other_targets,
+            arrival.envelope.packet,
+            arrival.now,
+        )
     }
 
-    /// The service's other targets, draining ones too.
-    pub(super) fn others(&self) -> Vec<TargetId> {
+    /// Returns the service's other targets, including draining ones.
+    pub(super) fn other_targets(&self) -> Vec<TargetId> {
         let members = self.view.own_service().map_or(&[][..], |service| &service.members);
         members.iter().copied().filter(|&member| member != self.own_target).collect()
     }
 
-    pub(super) fn ask(&self, arrival: &Arrival<'_>) -> Dispatch {
+    pub(super) fn query_holders(&self, arrival: &Arrival<'_>) -> Decision {
         let agents = self
-            .others()
+            .other_targets()
             .into_iter()
             .filter_map(|target| Some(self.view.table.target(target)?.agent))
             .collect();
@@ -174,40 +191,44 @@
             revision: self.view.table.revision(),
             flow: arrival.view.key.into(),
         };
-        Dispatch::Ask { query, agents }
+        Decision::Query { query, agents }
     }
 
-    pub(super) fn forward(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Dispatch {
-        if arrival.envelope.hops >= MAXIMUM_HOPS {
-            return Dispatch::Drop("too_many_hops");
+    pub(super) fn forward(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Decision {
+        if arrival.envelope.hops >= MAX_HOPS {
+            return Decision::Drop("too_many_hops");
         }
         let delivery = Delivery::Forwarded;
-        let ways = holders.iter().filter_map(|&target| {
+        let next_hops = holders.iter().filter_map(|&target| {
             let agent = self.view.table.target(target)?.agent;
-            Some(PassOn { agent, target, delivery })
+            Some(NextHop { agent, target, delivery })
         });
-        Dispatch::PassOn(ways.collect())
+        Decision::PassOn(next_hops.collect())
     }
 
-    pub(super) fn forward_and_ask(&self, arrival: &Arrival<'_>, holders: &[TargetId]) -> Dispatch {
-        Dispatch::Several(vec![self.forward(arrival, holders), self.ask(arrival)])
+    pub(super) fn forward_and_query(
+        &self,
+        arrival: &Arrival<'_>,
+        holders: &[TargetId],
+    ) -> Decision {
+        Decision::Multiple(vec![self.forward(arrival, holders), self.query_holders(arrival)])
     }
 
-    /// Whether somebody has shown a newer revision than the one in force here:
-    /// then a target may exist that this agent does not know to ask.
+    /// Whether a message has shown a newer revision than the one in effect here. Then a target may
+    /// exist that this agent does not know and therefore cannot query.
     pub(super) fn is_stale(&self) -> bool {
-        self.newest_seen > self.view.table.revision()
+        self.newest_revision_seen > self.view.table.revision()
     }
 
-    pub(super) fn handle_query(&self, query: &HolderQuery, now: Instant) -> Dispatch {
+    pub(super) fn handle_query(&self, query: &HolderQuery, now: Instant) -> Decision {
         let Some(own) = self.view.own else {
-            return Dispatch::Drop("not_configured");
+            return Decision::Drop("not_configured");
         };
         if query.service != own.fence.service.0 {
-            return Dispatch::Drop("wrong_service");
+            return Decision::Drop("wrong_service");
         }
-        let Some(asker) = self.view.table.target(TargetId(query.from)) else {
-            return Dispatch::Drop("unknown_target");
+        let Some(requester) = self.view.table.target(TargetId(query.from)) else {
+            return Decision::Drop("unknown_target");
         };
         let answer = HolderAnswer {
             service: query.service,
@@ -220,34 +241,39 @@
                 None => Holding::Not,
             },
         };
-        Dispatch::Answer { agent: asker.agent, answer }
+        Decision::Answer { agent: requester.agent, answer }
     }
 
-    pub(super) fn handle_answer(&mut self, answer: &HolderAnswer, now: Instant) -> Dispatch {
+    pub(super) fn handle_answer(&mut self, answer: &HolderAnswer, now: Instant) -> Decision {
         let own_service = self.view.own.map(|own| own.fence.service.0);
         if own_service != Some(answer.service) {
-            return Dispatch::Drop("wrong_service");
+            return Decision::Drop("wrong_service");
         }
         let key = FlowKey::from(answer.flow);
         let holder = TargetId(answer.from);
         let packets = self.directory.record_answer(&key, holder, answer.holding, now);
         let own_phase = self.flows.phase(&key, now).map(|(phase, _)| phase);
-        let gives_up = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
-        match (gives_up, self.release(packets, holder)) {
-            (true, Some(release)) => Dispatch::Several(vec![Dispatch::Abandon(key), release]),
-            (true, None) => Dispatch::Abandon(key),
-            (false, Some(release)) => release,
-            (false, None) => Dispatch::Learned,
+        let abandons = (own_phase, answer.holding) == (Some(FlowPhase::Opening), Holding::Open);
+        match (abandons, self.forward_buffered(packets, holder)) {
+            (true, Some(forwarding)) => {
+                Decision::Multiple(vec![Decision::Abandon(key), forwarding])
+            }
+            (true, None) => Decision::Abandon(key),
+            (false, Some(forwarding)) => forwarding,
+            (false, None) => Decision::Recorded,
         }
     }
 
-    /// Sends held packets on to the agent that has their flow, if there are any.
-    fn release(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Dispatch> {
+    /// Decides to send buffered packets, if there are any, to the agent that holds their flow.
+    fn forward_buffered(&self, packets: Vec<Vec<u8>>, holder: TargetId) -> Option<Decision> {
         if packets.is_empty() {
             return None;
         }
         let agent = self.view.table.target(holder)?.agent;
         let delivery = Delivery::Forwarded;
-        Some(Dispatch::Release { packets, pass_on: PassOn { agent, target: holder, delivery } })
+        Some(Decision::ForwardBuffered {
+            packets,
+            next_hop: NextHop { agent, target: holder, delivery },
+        })
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,35 +1,36 @@
-//! Runs the daemons for targets that end flows themselves: a balancer and an
-//! agent, each on one thread, around the decisions of `weirhinge-steering` and
-//! the knowledge of `weirhinge-fleet`.
+//! The relay daemons: a balancer and an agent for targets that terminate flows themselves.
 //!
-//! How the outside speaks is behind the typed seam [`Platform`].
+//! Each daemon runs on one thread. It receives and sends packets and exchanges state with its
+//! peers; balancers also read the platform's store. `weirhinge-steering` makes the decisions and
+//! `weirhinge-fleet` keeps the state of the fleet. Packet and document formats are behind the
+//! [`Platform`] trait.
 
 mod agent;
 mod backlog;
 mod balancer;
-mod base;
 mod clock;
+mod daemon_context;
 mod events;
 mod fleet_node;
-mod http;
+mod http_server;
 mod link;
 mod metrics;
 mod peer_stream;
 mod platform;
 mod process;
+mod readiness;
 mod receive;
-mod refused_items;
 mod reload;
+mod reported_rejections;
 mod settings;
-mod status;
 mod store;
 mod store_client;
 
 pub use agent::run as run_agent;
 pub use backlog::Backlog;
 pub use balancer::run as run_balancer;
-pub use fleet_node::{FleetNode, Reaction};
-pub use platform::{AnswerBehind, ListPage, Platform, RejectReason, RejectedItem, WatchPage};
+pub use fleet_node::{DigestActions, FleetNode};
+pub use platform::{ListPage, Platform, RejectReason, RejectedItem, StaleResponse, WatchPage};
 pub use process::{ProcessLog, Signals, run_process};
-pub use refused_items::RefusedItems;
+pub use reported_rejections::ReportedRejections;
 pub use settings::{AgentSettings, BalancerSettings, CommonSettings, RawSettings};
--- a/crates/steering/src/agent_status.rs
+++ b/crates/steering/src/agent_status.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::Ipv4Addr;
 
-use weirhinge_fleet::{Millis, ServiceId, TargetClaim, TargetLoad, ZoneId};
+use weirhinge_fleet::{Millis, ServiceId, TargetLoad, TargetStatus, ZoneId};
 
 use crate::view::Candidate;
 
@@ -178,7 +178,7 @@
         &mut self,
         agent: Ipv4Addr,
         zone: ZoneId,
-        claim: &TargetClaim,
+        claim: &TargetStatus,
         now: Millis,
     ) {
         let status = self.statuses.entry(agent).or_default();
--- a/crates/steering/tests/recovery.rs
+++ b/crates/steering/tests/recovery.rs
@@ -58,7 +58,7 @@
         }
         Event::Answered(number) => fixture.balancer.note_answer(agent(number), 0, *now),
         Event::StatusReported(number, leaving) => {
-            let claim = weirhinge_fleet::TargetClaim { leaving, ..claim(SERVICE) };
+            let claim = weirhinge_fleet::TargetStatus { leaving, ..claim(SERVICE) };
             fixture.balancer.note_target_status(agent(number), ZoneId::of("a"), &claim, *now);
         }
         Event::Returned(number, reason) => {
--- a/crates/weirhinge/src/cli/agent.rs
+++ b/crates/weirhinge/src/cli/agent.rs
@@ -1,42 +1,42 @@
-//! `weirhinge agent`.
+//! `weirhinge agent`: runs an agent.
 
 use pico_args::Arguments;
-use weirhinge_agent::Plant;
+use weirhinge_agent::PlantedDefect;
 
 use super::CliFailure;
-use super::daemon::{COMMON_OPTIONS, option, print_ready, read_options, run_daemon};
+use super::daemon::{COMMON_OPTIONS, print_ready, read_flag, read_options, run_daemon};
 
 const USAGE: &str = "\
-weirhinge agent: stand beside one back end and hold its flows
+weirhinge agent: run next to one back end and terminate its flows
 
 USAGE:
   weirhinge agent [OPTIONS]
 
 OPTIONS:
-  --target ID                Identifier of the target that this agent stands beside
-  --fabric IP:PORT           UDP address of the fabric, for answers
-  --half-open-limit N        Most flows opening at once  [default: 256]
-  --candidates N             Targets compared per new flow, 1 to 8  [default: 3]
-  --stop-deadline-seconds N  Longest wait for open flows after SIGTERM  [default: none]
+  --target ID                Identifier of the target that this agent serves
+  --fabric IP:PORT           UDP address of the fabric, for replies to clients
+  --half-open-limit N        Maximum number of half-open flows  [default: 256]
+  --candidates N             Candidate targets compared per new flow, 1 to 8  [default: 3]
+  --stop-deadline-seconds N  Maximum wait for open flows after SIGTERM  [default: none]
 ";
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}{COMMON_OPTIONS}");
         return Ok(());
     }
-    let plant: Option<Plant> = option(&mut arguments, "--plant")?;
+    let planted_defect: Option<PlantedDefect> = read_flag(&mut arguments, "--plant")?;
     let options = read_options(arguments, |arguments, flags| {
-        flags.target = option(arguments, "--target")?;
-        flags.fabric = option(arguments, "--fabric")?;
-        flags.half_open_limit = option(arguments, "--half-open-limit")?;
-        flags.candidates = option(arguments, "--candidates")?;
-        flags.stop_deadline_seconds = option(arguments, "--stop-deadline-seconds")?;
+        flags.target = read_flag(arguments, "--target")?;
+        flags.fabric = read_flag(arguments, "--fabric")?;
+        flags.half_open_limit = read_flag(arguments, "--half-open-limit")?;
+        flags.candidates = read_flag(arguments, "--candidates")?;
+        flags.stop_deadline_seconds = read_flag(arguments, "--stop-deadline-seconds")?;
         Ok(())
     })?;
     let settings = options.settings.into_agent(&options.origin).map_err(CliFailure::usage)?;
     run_daemon(options.log, |log, stop| {
-        weirhinge_agent::run(settings, plant, log, print_ready, stop.wait())
+        weirhinge_agent::run(settings, planted_defect, log, print_ready, stop.wait())
     })
 }
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -1,4 +1,4 @@
-//! `weirhinge explain`.
+//! `weirhinge explain`: shows what happened to one subject, from logs.
 
 use std::io::Read;
 use std::time::{Duration, UNIX_EPOCH};
@@ -9,11 +9,11 @@
 use weirhinge_observe::{MergedLine, MergedLogs, Subject};
 
 use super::CliFailure;
-use super::daemon::option;
-use super::log_files::files;
+use super::daemon::read_flag;
+use super::log_files::read_file_names;
 
 const USAGE: &str = "\
-weirhinge explain: tell from logs what happened
+weirhinge explain: show from logs what happened
 
 USAGE:
   weirhinge explain --request ID [FILE...]
@@ -23,21 +23,21 @@
                     [FILE...]
 
 Reads the logs of any number of machines, from files or standard input, and
-prints the lines about the subject in order of time. Differences between the
-machines' clocks are estimated from the lines and corrected. Lines that cannot
-be read are counted.
+prints the lines about the subject in order of time. Clock differences between
+machines are estimated from the lines and corrected. Lines that cannot be read
+are counted.
 
 The timeline counts the lines of each kind in intervals of --every milliseconds
-(1000), tells of daemons that started together and what came after, names daemons
-that served nothing while others did, and how long steps took. Times are seconds
-from the first line; --from and --to limit them. It reads any amount of lines in
-bounded memory.
+(default: 1000). It reports daemons that started together and what followed,
+daemons that served nothing while others did, and how long steps took. Times are
+in seconds since the first line; --from and --to limit the range. Memory use does
+not grow with the number of lines.
 ";
 
-/// Fields that every line has, or that its head already shows.
-const SHOWN_IN_HEAD: [&str; 6] = ["ts", "level", "node", "event", "msg", "up_ms"];
+/// Fields that the start of a printed line shows already, or that every line has.
+const HEADER_FIELDS: [&str; 6] = ["ts", "level", "node", "event", "msg", "up_ms"];
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(mut arguments: Arguments) -> Result<(), CliFailure> {
     if arguments.contains(["-h", "--help"]) {
         print!("{USAGE}");
@@ -47,21 +47,21 @@
         return super::timeline::run(arguments);
     }
     let subject = read_subject(&mut arguments)?;
-    let files = files(arguments)?;
+    let files = read_file_names(arguments)?;
     let mut logs = MergedLogs::default();
     read_logs(&files, &mut logs).map_err(CliFailure::Runtime)?;
-    let told = logs.lines_about(&subject);
-    for line in &told {
+    let lines = logs.lines_about(&subject);
+    for line in &lines {
         println!("{}", format_line(line));
     }
-    print_summary(&logs, told.len());
+    print_summary(&logs, lines.len());
     Ok(())
 }
 
 fn read_subject(arguments: &mut Arguments) -> Result<Subject, CliFailure> {
-    let request: Option<String> = option(arguments, "--request")?;
-    let flow: Option<String> = option(arguments, "--flow")?;
-    let node: Option<String> = option(arguments, "--node")?;
+    let request: Option<String> = read_flag(arguments, "--request")?;
+    let flow: Option<String> = read_flag(arguments, "--flow")?;
+    let node: Option<String> = read_flag(arguments, "--node")?;
     match (request, flow, node) {
         (Some(id), None, None) => Ok(Subject::Request(id)),
         (None, Some(flow), None) => Ok(Subject::Flow(flow)),
@@ -85,26 +85,26 @@
     Ok(())
 }
 
-fn format_line(told: &MergedLine) -> String {
-    let since = Duration::from_millis(u64::try_from(told.at_ms).unwrap_or(0));
-    let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since);
-    let fields = told.line.fields.iter();
+fn format_line(entry: &MergedLine) -> String {
+    let since_epoch = Duration::from_millis(u64::try_from(entry.at_ms).unwrap_or(0));
+    let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since_epoch);
+    let fields = entry.line.fields.iter();
     let fields: Vec<String> = fields
-        .filter(|(name, value)| !SHOWN_IN_HEAD.contains(&name.as_str()) && !value.is_null())
+        .filter(|(name, value)| !HEADER_FIELDS.contains(&name.as_str()) && !value.is_null())
         .map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         })
         .collect();
-    format!("{time} {:<28} {:<14} {}", told.line.node, told.line.event, fields.join(" "))
+    format!("{time} {:<28} {:<14} {}", entry.line.node, entry.line.event, fields.join(" "))
 }
 
-fn print_summary(logs: &MergedLogs, told: usize) {
+fn print_summary(logs: &MergedLogs, line_count: usize) {
     let offsets = logs.clock_offsets();
     let largest = offsets.iter().max_by_key(|(_, offset)| offset.abs());
     let clocks = largest.map_or_else(
-        || "no clock differs".to_owned(),
+        || "no clock differences".to_owned(),
         |(node, offset)| format!("largest clock difference corrected: {offset} ms at {node}"),
     );
-    println!("{told} lines; {clocks}; {} lines could not be read", logs.unreadable());
+    println!("{line_count} lines; {clocks}; {} lines could not be read", logs.unreadable());
 }
