--- a/crates/relay/src/daemon_context.rs
+++ b/crates/relay/src/daemon_context.rs
@@ -46,7 +46,7 @@
         let mut metrics = Metrics::new();
         let role_metrics = declare(&mut metrics);
         let fleet_metrics = FleetMetrics::declare(&mut metrics);
-        metrics.adopt_counter(
+        metrics.register_counter(
             "log_lines_lost",
             "Log lines dropped because the output was not read fast enough",
             process_log.lost,
--- a/crates/weirhinge/src/cli/explain.rs
+++ b/crates/weirhinge/src/cli/explain.rs
@@ -6,7 +6,7 @@
 use eyre::WrapErr;
 use pico_args::Arguments;
 use serde_json::Value;
-use weirhinge_observe::{Story, StoryLine, Subject};
+use weirhinge_observe::{MergedLine, MergedLogs, Subject};
 
 use super::CliFailure;
 use super::daemon::read_flag;
@@ -48,9 +48,9 @@
     }
     let subject = read_subject(&mut arguments)?;
     let files = read_file_names(arguments)?;
-    let mut logs = Story::default();
+    let mut logs = MergedLogs::default();
     read_logs(&files, &mut logs).map_err(CliFailure::Runtime)?;
-    let lines = logs.tell(&subject);
+    let lines = logs.lines_about(&subject);
     for line in &lines {
         println!("{}", format_line(line));
     }
@@ -72,7 +72,7 @@
     }
 }
 
-fn read_logs(files: &[String], logs: &mut Story) -> eyre::Result<()> {
+fn read_logs(files: &[String], logs: &mut MergedLogs) -> eyre::Result<()> {
     if files.is_empty() {
         let mut bytes = Vec::new();
         std::io::stdin().read_to_end(&mut bytes).wrap_err("read standard input")?;
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-fn format_line(entry: &StoryLine) -> String {
+fn format_line(entry: &MergedLine) -> String {
     let since_epoch = Duration::from_millis(u64::try_from(entry.at_ms).unwrap_or(0));
     let time = humantime::format_rfc3339_millis(UNIX_EPOCH + since_epoch);
     let fields = entry.line.fields.iter();
@@ -99,7 +99,7 @@
     format!("{time} {:<28} {:<14} {}", entry.line.node, entry.line.event, fields.join(" "))
 }
 
-fn print_summary(logs: &Story, line_count: usize) {
+fn print_summary(logs: &MergedLogs, line_count: usize) {
     let offsets = logs.clock_offsets();
     let largest = offsets.iter().max_by_key(|(_, offset)| offset.abs());
     let clocks = largest.map_or_else(
