--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,21 +1,21 @@
-//! Elections: pre-votes, votes, and what becomes of them.
+//! Elections: pre-votes, votes and changes of role.
 
 use std::collections::BTreeSet;
 
-use crate::log::{Index, Machine, Payload, Term};
+use crate::log::{Index, Payload, StateMachine, Term};
 use crate::message::Message;
 use crate::node::{Node, Progress, ReplicaId, Role};
 
-impl<M: Machine> Node<M> {
-    /// Asks the other voters whether they would vote, before disturbing a
-    /// leader that only this replica does not hear.
-    pub(crate) fn ask_before_election(&mut self) {
+impl<M: StateMachine> Node<M> {
+    /// Asks the other voters whether they would vote for this replica. Without this
+    /// step, a replica that alone lost contact to the leader would depose it.
+    pub(crate) fn start_pre_vote(&mut self) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = BTreeSet::from([self.id]);
         self.reset_election_timer();
         if self.is_quorum(&self.votes) {
-            return self.stand();
+            return self.start_election();
         }
         let (term, last_index, last_term) =
             (self.term + 1, self.log.last_index(), self.log.last_term());
@@ -24,7 +24,7 @@
         }
     }
 
-    fn stand(&mut self) {
+    fn start_election(&mut self) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
@@ -40,21 +40,22 @@
         }
     }
 
-    /// A replica that hears a living leader ignores votes, so that one that was
-    /// removed, or cut off for a while, cannot depose it.
-    pub(crate) fn ignores_vote(&self, message: &Message<M>) -> bool {
-        matches!(message, Message::Vote { .. }) && self.hears_leader()
+    /// Whether to ignore a vote request because this replica has contact to a live
+    /// leader. Keeps a replica that was removed from the group, or partitioned for a
+    /// while, from deposing the leader.
+    pub(crate) fn ignores_vote_request(&self, message: &Message<M>) -> bool {
+        matches!(message, Message::Vote { .. }) && self.has_contact_to_leader()
     }
 
-    fn hears_leader(&self) -> bool {
+    fn has_contact_to_leader(&self) -> bool {
         if self.role == Role::Leader {
             return true;
         }
-        self.leader_heard
-            .is_some_and(|heard| self.now.saturating_sub(heard) < self.options.election_timeout)
+        self.leader_seen_at
+            .is_some_and(|seen_at| self.now.saturating_sub(seen_at) < self.options.election_timeout)
     }
 
-    fn is_up_to_date(&self, last_index: Index, last_term: Term) -> bool {
+    fn is_log_up_to_date(&self, last_index: Index, last_term: Term) -> bool {
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
 
@@ -65,8 +66,9 @@
         last_index: Index,
         last_term: Term,
     ) {
-        let granted =
-            term > self.term && !self.hears_leader() && self.is_up_to_date(last_index, last_term);
+        let granted = term > self.term
+            && !self.has_contact_to_leader()
+            && self.is_log_up_to_date(last_index, last_term);
         let own_term = self.term;
         self.send(from, Message::PreVoteAnswer { term, own_term, granted });
     }
@@ -86,7 +88,7 @@
         }
         self.votes.insert(from);
         if self.is_quorum(&self.votes) {
-            self.stand();
+            self.start_election();
         }
     }
 
@@ -97,11 +99,11 @@
         last_index: Index,
         last_term: Term,
     ) {
-        let free = self.voted_for.is_none_or(|voted| voted == from);
+        let may_vote = self.voted_for.is_none_or(|voted| voted == from);
         let granted = term == self.term
             && self.role == Role::Follower
-            && free
-            && self.is_up_to_date(last_index, last_term);
+            && may_vote
+            && self.is_log_up_to_date(last_index, last_term);
         if granted {
             self.voted_for = Some(from);
             self.reset_election_timer();
@@ -136,18 +138,20 @@
         self.progress.clear();
         self.barrier = None;
         self.heartbeat_due = self.now;
-        // An entry of the own term: with it, all earlier ones are committed.
-        self.append_own(Payload::Nothing);
+        // Entries of earlier terms are committed only together with an entry of the
+        // leader's own term.
+        self.append_entry(Payload::Nothing);
     }
 
-    /// The progress of a replica that the leader sends to.
+    /// Returns the progress of a replica that the leader replicates to; starts to
+    /// track it if it is new.
     pub(crate) fn progress_of(&mut self, id: ReplicaId) -> &mut Progress {
-        let fresh = Progress {
+        let initial = Progress {
             next: self.log.last_index() + 1,
             matched: 0,
             last_answer: self.now,
             answered: false,
         };
-        self.progress.entry(id).or_insert(fresh)
+        self.progress.entry(id).or_insert(initial)
     }
 }
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,28 +1,30 @@
-//! Decides how the voters follow the machines, one change at a time.
+//! Plans membership changes: which replica to add to the voters or remove from
+//! them next.
 
 use std::collections::BTreeMap;
 
 use crate::node::ReplicaId;
 
-/// What the leader knows of a replica's life.
+/// A replica's liveness as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It has answered this leader lately.
+    /// The replica has answered this leader recently.
     Alive,
-    /// It has not answered this leader yet, and has not had time to.
+    /// The replica has not answered this leader yet, but the leader has not waited
+    /// long enough to consider it dead.
     Unknown,
-    /// It has been silent for too long.
+    /// The replica has not answered for too long.
     Dead,
 }
 
-/// A replica that is, or might become, a voter.
+/// The state of a replica that is a voter or could become one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Candidate {
-    /// The replica.
+pub struct ReplicaStatus {
+    /// The replica's identity.
     pub id: ReplicaId,
     /// The zone that it runs in.
     pub zone: String,
-    /// Whether it lives.
+    /// The replica's liveness.
     pub liveness: Liveness,
     /// Whether the platform lists it as leaving.
     pub leaving: bool,
@@ -30,49 +32,51 @@
     pub caught_up: bool,
 }
 
-/// What the voters should be like.
+/// The desired set of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipPlan {
-    /// Number of voters wanted; odd.
+    /// Desired number of voters. Should be odd.
     pub size: usize,
 }
 
-/// One change of the voters.
+/// A change of the voters by one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Make a caught-up learner a voter.
+    /// Promotes a learner that has caught up to a voter.
     Add(ReplicaId),
-    /// Take a voter out.
+    /// Removes a voter.
     Remove(ReplicaId),
 }
 
-/// The next change that the leader `own` should make, if one is due.
+/// Returns the next change that the leader `own` should propose, if one is due.
 ///
-/// The dead go first: that never raises the number of living voters which a
-/// majority needs. Then voters are added up to the plan, in the zone with the
-/// fewest; then the leaving go, and last those beyond the plan, but only when
-/// nobody's life is unknown: a leader that takes the dead for living might
+/// Dead voters are removed first, which never raises the number of live voters that
+/// a majority needs. Next, voters are added up to the planned size, from the zone
+/// with the fewest voters. Then leaving voters are removed, and finally those beyond
+/// the planned size. These last two removals wait while any voter is dead or its
+/// liveness is unknown: a leader that takes dead voters for live ones could
 /// otherwise remove its own majority.
 pub fn plan_change(
     plan: &MembershipPlan,
     own: ReplicaId,
     voters: &[ReplicaId],
-    candidates: &[Candidate],
+    replicas: &[ReplicaStatus],
 ) -> Option<MembershipChange> {
-    let by_id: BTreeMap<ReplicaId, &Candidate> =
-        candidates.iter().map(|candidate| (candidate.id, candidate)).collect();
-    let with = |liveness: Liveness| -> Vec<ReplicaId> {
-        let is = |id: &ReplicaId| by_id.get(id).is_some_and(|one| one.liveness == liveness);
-        voters.iter().copied().filter(|id| is(id)).collect()
+    let by_id: BTreeMap<ReplicaId, &ReplicaStatus> =
+        replicas.iter().map(|replica| (replica.id, replica)).collect();
+    let voters_with = |liveness: Liveness| -> Vec<ReplicaId> {
+        let matches =
+            |id: &ReplicaId| by_id.get(id).is_some_and(|replica| replica.liveness == liveness);
+        voters.iter().copied().filter(|id| matches(id)).collect()
     };
-    let (alive, unknown) = (with(Liveness::Alive), with(Liveness::Unknown));
+    let (alive, unknown) = (voters_with(Liveness::Alive), voters_with(Liveness::Unknown));
     let dead = voters.iter().copied().find(|id| !alive.contains(id) && !unknown.contains(id));
     if let Some(dead) = dead
         && 2 * alive.len() > voters.len() - 1
     {
         return Some(MembershipChange::Remove(dead));
     }
-    let is_leaving = |id: &ReplicaId| by_id.get(id).is_some_and(|one| one.leaving);
+    let is_leaving = |id: &ReplicaId| by_id.get(id).is_some_and(|replica| replica.leaving);
     let staying: Vec<ReplicaId> = alive.iter().copied().filter(|id| !is_leaving(id)).collect();
     if staying.len() + unknown.len() < plan.size
         && let Some(addition) = best_addition(voters, &staying, &by_id)
@@ -89,50 +93,48 @@
         return Some(MembershipChange::Remove(leaving));
     }
     if staying.len() > plan.size {
-        return most_crowded(own, &staying, &by_id).map(MembershipChange::Remove);
+        return surplus_voter(own, &staying, &by_id).map(MembershipChange::Remove);
     }
     None
 }
 
 fn zone_counts<'a>(
     ids: &[ReplicaId],
-    by_id: &BTreeMap<ReplicaId, &'a Candidate>,
+    by_id: &BTreeMap<ReplicaId, &'a ReplicaStatus>,
 ) -> BTreeMap<&'a str, usize> {
     let mut counts = BTreeMap::new();
-    for candidate in ids.iter().filter_map(|id| by_id.get(id)) {
-        *counts.entry(candidate.zone.as_str()).or_default() += 1;
+    for replica in ids.iter().filter_map(|id| by_id.get(id)) {
+        *counts.entry(replica.zone.as_str()).or_default() += 1;
     }
     counts
 }
 
 fn best_addition(
     voters: &[ReplicaId],
-    sound: &[ReplicaId],
-    by_id: &BTreeMap<ReplicaId, &Candidate>,
+    staying: &[ReplicaId],
+    by_id: &BTreeMap<ReplicaId, &ReplicaStatus>,
 ) -> Option<ReplicaId> {
-    let counts = zone_counts(sound, by_id);
+    let counts = zone_counts(staying, by_id);
     by_id
         .values()
-        .filter(|candidate| {
-            candidate.caught_up
-                && !candidate.leaving
-                && candidate.liveness == Liveness::Alive
-                && !voters.contains(&candidate.id)
+        .filter(|replica| {
+            replica.caught_up
+                && !replica.leaving
+                && replica.liveness == Liveness::Alive
+                && !voters.contains(&replica.id)
         })
-        .min_by_key(|candidate| {
-            (counts.get(candidate.zone.as_str()).copied().unwrap_or(0), candidate.id)
-        })
-        .map(|candidate| candidate.id)
+        .min_by_key(|replica| (counts.get(replica.zone.as_str()).copied().unwrap_or(0), replica.id))
+        .map(|replica| replica.id)
 }
 
-fn most_crowded(
+fn surplus_voter(
     own: ReplicaId,
-    sound: &[ReplicaId],
-    by_id: &BTreeMap<ReplicaId, &Candidate>,
+    staying: &[ReplicaId],
+    by_id: &BTreeMap<ReplicaId, &ReplicaStatus>,
 ) -> Option<ReplicaId> {
-    let counts = zone_counts(sound, by_id);
-    sound.iter().copied().filter(|&id| id != own).max_by_key(|id| {
-        let zone = by_id.get(id).map_or("", |candidate| candidate.zone.as_str());
+    let counts = zone_counts(staying, by_id);
+    staying.iter().copied().filter(|&id| id != own).max_by_key(|id| {
+        let zone = by_id.get(id).map_or("", |replica| replica.zone.as_str());
         (counts.get(zone).copied().unwrap_or(0), *id)
     })
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,14 +1,15 @@
-//! One replica: its state, and the entry points for time, messages and writes.
+//! A replica: its state, and the entry points for time, messages and writes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 
-use crate::log::{Entry, Index, Log, Machine, Payload, Snapshot, Term};
+use crate::log::{Entry, Index, Log, Payload, Snapshot, StateMachine, Term};
 use crate::membership::Liveness;
 use crate::message::{Envelope, Message};
 
-/// Identifies one start of one process; drawn at random, never used again.
+/// Identifies one run of a replica's process. Drawn at random at every start and
+/// never reused.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
@@ -20,91 +21,93 @@
     }
 }
 
-/// Times and sizes of a node.
+/// Timing and limits of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// Time between two heartbeats of a leader.
-    pub heartbeat: Duration,
-    /// Shortest time without a leader after which a voter stands for election;
-    /// the longest is twice as much.
+    /// Interval between a leader's heartbeats.
+    pub heartbeat_interval: Duration,
+    /// Minimum time without contact to a leader after which a voter starts an
+    /// election. The actual timeout is random, up to twice this.
     pub election_timeout: Duration,
-    /// Entries kept behind the snapshot before the log is compacted.
+    /// Number of applied entries after the snapshot at which the log is compacted.
     pub compact_after: usize,
-    /// Seed of the election time-outs.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
-/// What a replica is at the moment.
+/// The Raft role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the other voters whether they would vote for it (pre-vote).
     PreCandidate,
-    /// Stands for election.
+    /// Has started an election and collects votes.
     Candidate,
-    /// Leads.
+    /// Leads the group: takes writes and replicates its log.
     Leader,
 }
 
-/// Why a write was not taken. Nothing was applied and nothing will be.
+/// Why a proposal was rejected. Nothing was applied, nor will it be later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     #[error("not the leader; the leader is {leader:?}")]
     NotLeader {
         /// The leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// An earlier membership change is not committed yet, or this leader has
-    /// committed nothing in its term yet.
-    #[error("an earlier membership change is not committed yet")]
+    /// An earlier membership change is not committed yet, or this leader has not
+    /// committed an entry of its own term yet.
+    #[error("an earlier membership change or this leader's first entry is not committed yet")]
     ChangeInProgress,
-    /// The leader first confirms that the new voters have a living majority; try
-    /// again in a moment.
-    #[error("a majority of the new voters is not confirmed yet")]
+    /// The leader has not confirmed yet that a majority of the new voters is
+    /// reachable. Retry shortly.
+    #[error("a majority of the new voters has not confirmed that it is reachable")]
     Unconfirmed,
-    /// The change would leave no voter, or changes nothing.
-    #[error("the change leaves the voters as they are or empty")]
-    UselessChange,
+    /// The change does not add or remove exactly one voter, or leaves no voter.
+    #[error("a membership change must add or remove exactly one voter and leave at least one")]
+    InvalidChange,
 }
 
-/// What a node asks of its surroundings.
+/// An action that the caller of a node has to carry out.
 #[derive(Clone, Debug)]
-pub enum Output<M: Machine> {
-    /// Send a message; it may be lost, doubled or late.
+pub enum Output<M: StateMachine> {
+    /// Send a message. It may be lost, duplicated or delayed.
     Send(Envelope<M>),
-    /// A command is committed and applied.
+    /// A command was committed and applied.
     Committed {
-        /// Its index.
+        /// The command's index.
         index: Index,
         /// The command.
         command: M::Command,
     },
 }
 
-/// What a leader knows of another replica.
+/// A leader's view of another replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Progress {
     /// Next index to send.
     pub(crate) next: Index,
-    /// Highest index known to agree.
+    /// Highest index up to which the replica's log is known to match.
     pub(crate) matched: Index,
-    /// When the replica last answered, or else when the leader began to send.
+    /// When the replica last answered; until its first answer, when the leader
+    /// started to send to it.
     pub(crate) last_answer: Duration,
-    /// Whether the replica has answered this leader.
+    /// Whether the replica has answered this leader at least once.
     pub(crate) answered: bool,
 }
 
-/// An entry by which a leader confirms who lives right now.
+/// An empty entry that the leader appends to find out which voters are reachable:
+/// those that acknowledge it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Barrier {
     index: Index,
-    since: Duration,
+    appended_at: Duration,
 }
 
-/// One replica.
-pub struct Node<M: Machine> {
+/// A replica: its log, its state machine and its part in elections.
+pub struct Node<M: StateMachine> {
     pub(crate) id: ReplicaId,
     pub(crate) options: NodeOptions,
     pub(crate) term: Term,
@@ -115,23 +118,24 @@
     pub(crate) commit: Index,
     pub(crate) machine: M,
     pub(crate) applied: Index,
-    /// Voters and learners that a leader sends to.
+    /// The replicas that a leader replicates to, voters and learners.
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) learners: BTreeSet<ReplicaId>,
     pub(crate) votes: BTreeSet<ReplicaId>,
     pub(crate) now: Duration,
     pub(crate) election_due: Duration,
     pub(crate) heartbeat_due: Duration,
-    /// When this replica last heard of a living leader.
-    pub(crate) leader_heard: Option<Duration>,
+    /// When this replica last received a message from the current leader.
+    pub(crate) leader_seen_at: Option<Duration>,
     pub(crate) barrier: Option<Barrier>,
-    random: u64,
+    rng_state: u64,
     pub(crate) outputs: Vec<Output<M>>,
 }
 
-impl<M: Machine> Node<M> {
-    /// A replica that starts from a snapshot. One that is not among the
-    /// snapshot's voters is a learner: it follows and never votes.
+impl<M: StateMachine> Node<M> {
+    /// Creates a replica that starts from a snapshot. If it is not one of the
+    /// snapshot's voters, it is a learner: it follows the leader and never starts
+    /// an election.
     pub fn new(id: ReplicaId, snapshot: Snapshot<M>, options: NodeOptions) -> Self {
         let mut node = Self {
             id,
@@ -150,72 +154,74 @@
             now: Duration::ZERO,
             election_due: Duration::ZERO,
             heartbeat_due: Duration::ZERO,
-            leader_heard: None,
+            leader_seen_at: None,
             barrier: None,
-            random: options.seed ^ id.0,
+            rng_state: options.seed ^ id.0,
             outputs: Vec::new(),
         };
         node.reset_election_timer();
         node
     }
 
-    /// This replica's identity.
+    /// Returns this replica's identity.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// What this replica is at the moment.
+    /// Returns this replica's current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The leader of the current term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The voters by this replica's log.
+    /// Returns the voters according to this replica's log, committed or not.
     pub fn voters(&self) -> &[ReplicaId] {
         self.log.voters().0
     }
 
-    /// The highest committed index that this replica knows.
+    /// Returns the highest index that this replica knows to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// The machine with every committed command applied.
+    /// Returns the state machine with every known committed command applied.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The replica's log.
+    /// Returns the replica's log.
     pub fn log(&self) -> &Log<M> {
         &self.log
     }
 
-    /// Lets time pass; returns what is to be done.
+    /// Advances the time to `now`: sends heartbeats or starts an election if due.
+    /// Returns the actions to carry out.
     pub fn tick(&mut self, now: Duration) -> Vec<Output<M>> {
         self.now = now;
         match self.role {
-            Role::Leader => self.lead(),
-            _ if now >= self.election_due && self.is_voter(self.id) => self.ask_before_election(),
+            Role::Leader => self.tick_leader(),
+            _ if now >= self.election_due && self.is_voter(self.id) => self.start_pre_vote(),
             _ => {}
         }
         self.take_outputs()
     }
 
-    /// Takes in a message; returns what is to be done.
+    /// Handles a message received at time `now` and returns the actions to carry
+    /// out.
     pub fn receive(&mut self, envelope: Envelope<M>, now: Duration) -> Vec<Output<M>> {
         self.now = now;
         let Envelope { from, message, .. } = envelope;
         if let Some(term) = message.term() {
-            if self.ignores_vote(&message) {
+            if self.ignores_vote_request(&message) {
                 return self.take_outputs();
             }
             if term > self.term {
@@ -244,60 +250,64 @@
         self.take_outputs()
     }
 
-    /// Takes a write, if this replica leads. The write holds once its index is
-    /// committed; until then its fate is open.
+    /// Proposes a command, if this replica is the leader. The command takes effect
+    /// once its index is committed with the command still at it; until then it may
+    /// yet be lost.
     ///
     /// # Errors
-    /// Why the write was not taken; nothing was applied then.
+    /// When this replica is not the leader. Nothing was applied then.
     pub fn propose(
         &mut self,
         command: M::Command,
     ) -> Result<(Index, Vec<Output<M>>), ProposeError> {
-        self.check_leads()?;
-        let index = self.append_own(Payload::Command(command));
+        self.ensure_leader()?;
+        let index = self.append_entry(Payload::Command(command));
         Ok((index, self.take_outputs()))
     }
 
-    /// Changes the voters by one replica, if this replica leads.
+    /// Proposes a new set of voters that differs by one replica, if this replica is
+    /// the leader.
     ///
     /// # Errors
-    /// Why the change was not taken; nothing was changed then.
+    /// Why the change was rejected. The voters did not change then.
     pub fn propose_voters(
         &mut self,
         mut voters: Vec<ReplicaId>,
     ) -> Result<(Index, Vec<Output<M>>), ProposeError> {
-        self.check_leads()?;
+        self.ensure_leader()?;
         voters.sort_unstable();
         voters.dedup();
-        let (current, since) = self.log.voters();
+        let (current, voters_index) = self.log.voters();
         let added = voters.iter().filter(|id| !current.contains(id)).count();
         let removed = current.iter().filter(|id| !voters.contains(id)).count();
         if voters.is_empty() || added + removed != 1 {
-            return Err(ProposeError::UselessChange);
+            return Err(ProposeError::InvalidChange);
         }
-        // Without an entry of its own term committed, a leader may not know of
-        // a change that an earlier leader committed (Ongaro's correction, 2015).
-        if since > self.commit || self.log.term_at(self.commit) != Some(self.term) {
+        // Until an entry of its own term is committed, a leader may not know of a
+        // membership change that an earlier leader committed (Ongaro's correction
+        // of 2015).
+        if voters_index > self.commit || self.log.term_at(self.commit) != Some(self.term) {
             return Err(ProposeError::ChangeInProgress);
         }
-        if !self.confirms_majority(&voters) {
+        if !self.confirm_majority(&voters) {
             return Err(ProposeError::Unconfirmed);
         }
         self.barrier = None;
-        let index = self.append_own(Payload::Voters(voters));
+        let index = self.append_entry(Payload::Voters(voters));
         Ok((index, self.take_outputs()))
     }
 
-    /// Whether a majority of these voters has just taken an entry that was
-    /// appended for the purpose. New voters count from the moment of their
-    /// entry, committed or not: a change made while a majority of them is dead
-    /// could never be committed nor undone.
-    fn confirms_majority(&mut self, voters: &[ReplicaId]) -> bool {
-        let (now, lifetime) = (self.now, self.options.election_timeout);
-        let fresh = self.barrier.filter(|barrier| now.saturating_sub(barrier.since) < lifetime);
-        let Some(barrier) = fresh else {
-            let index = self.append_own(Payload::Nothing);
-            self.barrier = Some(Barrier { index, since: now });
+    /// Whether a majority of these voters has acknowledged a recent barrier. Appends
+    /// a new barrier and returns false if there is no recent one. New voters count
+    /// as soon as their entry is in the log, committed or not, so a change to voters
+    /// of which a majority is dead could never be committed nor undone.
+    fn confirm_majority(&mut self, voters: &[ReplicaId]) -> bool {
+        let (now, max_age) = (self.now, self.options.election_timeout);
+        let recent =
+            self.barrier.filter(|barrier| now.saturating_sub(barrier.appended_at) < max_age);
+        let Some(barrier) = recent else {
+            let index = self.append_entry(Payload::Nothing);
+            self.barrier = Some(Barrier { index, appended_at: now });
             return false;
         };
         let confirmed = voters
@@ -309,28 +319,30 @@
         2 * confirmed > voters.len()
     }
 
-    /// Sends the log to a replica that is no voter, until it is told otherwise.
+    /// Starts to replicate the log to a replica that is not a voter. Stops when the
+    /// learner is removed.
     pub fn add_learner(&mut self, id: ReplicaId) {
         self.learners.insert(id);
     }
 
-    /// Stops sending to every learner that is not among these.
+    /// Removes every learner that is not in `ids`.
     pub fn keep_learners(&mut self, ids: &[ReplicaId]) {
         self.learners.retain(|id| ids.contains(id));
     }
 
-    /// Stops sending to a learner.
+    /// Stops replicating to a learner.
     pub fn remove_learner(&mut self, id: ReplicaId) {
         self.learners.remove(&id);
     }
 
-    /// How far a replica's log is known to agree, for a leader.
+    /// Returns the highest index up to which a replica's log is known to match this
+    /// leader's. `None` for replicas that it does not replicate to.
     pub fn matched(&self, id: ReplicaId) -> Option<Index> {
         self.progress.get(&id).map(|progress| progress.matched)
     }
 
-    /// Whether a replica lives, as far as a leader can tell: it is dead after
-    /// `dead_after` without an answer.
+    /// Returns a replica's liveness as this leader sees it. A replica that has not
+    /// answered for `dead_after` is considered dead.
     pub fn liveness(&self, id: ReplicaId, dead_after: Duration) -> Liveness {
         if id == self.id {
             return Liveness::Alive;
@@ -345,14 +357,14 @@
         }
     }
 
-    fn check_leads(&self) -> Result<(), ProposeError> {
+    fn ensure_leader(&self) -> Result<(), ProposeError> {
         if self.role == Role::Leader {
             return Ok(());
         }
         Err(ProposeError::NotLeader { leader: self.leader })
     }
 
-    pub(crate) fn append_own(&mut self, payload: Payload<M::Command>) -> Index {
+    pub(crate) fn append_entry(&mut self, payload: Payload<M::Command>) -> Index {
         let index = self.log.push(Entry { term: self.term, payload });
         self.advance_commit();
         self.send_to_all();
@@ -363,16 +375,16 @@
         self.log.voters().0.contains(&id)
     }
 
-    /// Voters besides this replica.
+    /// Returns the voters other than this replica.
     pub(crate) fn other_voters(&self) -> Vec<ReplicaId> {
         self.voters().iter().copied().filter(|&id| id != self.id).collect()
     }
 
-    /// Whether these replicas are a majority of the voters.
+    /// Whether these replicas include a majority of the voters.
     pub(crate) fn is_quorum(&self, ids: &BTreeSet<ReplicaId>) -> bool {
         let voters = self.voters();
-        let present = voters.iter().filter(|id| ids.contains(id)).count();
-        2 * present > voters.len()
+        let included = voters.iter().filter(|id| ids.contains(id)).count();
+        2 * included > voters.len()
     }
 
     pub(crate) fn send(&mut self, to: ReplicaId, message: Message<M>) {
@@ -384,14 +396,16 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Draws the next election time-out, from one to two times the shortest.
+    /// Restarts the election timer with a random timeout between one and two times
+    /// [`NodeOptions::election_timeout`].
     pub(crate) fn reset_election_timer(&mut self) {
-        // SplitMix64: enough to keep replicas from standing at the same moment.
-        self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut mixed = self.random;
+        // SplitMix64. Its randomness suffices to keep replicas from starting elections
+        // at the same moment.
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.rng_state;
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        let share = (mixed >> 11) as f64 / (1_u64 << 53) as f64;
-        self.election_due = self.now + self.options.election_timeout.mul_f64(1.0 + share);
+        let fraction = (mixed >> 11) as f64 / (1_u64 << 53) as f64;
+        self.election_due = self.now + self.options.election_timeout.mul_f64(1.0 + fraction);
     }
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,38 +1,39 @@
-//! Replication: from the leader's log to the others', and to the machine.
+//! Replication of the leader's log to other replicas, and applying of committed
+//! entries to the state machine.
 
 use std::collections::BTreeSet;
 
-use crate::log::{Entry, Index, Machine, Payload, Snapshot, Term};
+use crate::log::{Entry, Index, Payload, Snapshot, StateMachine, Term};
 use crate::message::Message;
 use crate::node::{Node, Output, ReplicaId, Role};
 
-/// Most entries in one message.
-const ENTRIES_PER_MESSAGE: usize = 64;
+/// Maximum number of entries in one message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
-impl<M: Machine> Node<M> {
-    /// A leader's part of a tick: heartbeats, and stepping down when a majority
-    /// has been silent for an election time-out.
-    pub(crate) fn lead(&mut self) {
-        if !self.hears_quorum() {
+impl<M: StateMachine> Node<M> {
+    /// The leader's part of a tick: sends heartbeats, and steps down if it has not
+    /// received an answer from a majority for two election timeouts.
+    pub(crate) fn tick_leader(&mut self) {
+        if !self.has_contact_to_quorum() {
             let term = self.term;
             return self.become_follower(term, None);
         }
         if self.now >= self.heartbeat_due {
-            self.heartbeat_due = self.now + self.options.heartbeat;
+            self.heartbeat_due = self.now + self.options.heartbeat_interval;
             self.send_to_all();
         }
     }
 
-    fn hears_quorum(&self) -> bool {
+    fn has_contact_to_quorum(&self) -> bool {
         let limit = self.options.election_timeout * 2;
-        let mut heard: BTreeSet<ReplicaId> = self
+        let mut reachable: BTreeSet<ReplicaId> = self
             .progress
             .iter()
             .filter(|(_, progress)| self.now.saturating_sub(progress.last_answer) < limit)
             .map(|(&id, _)| id)
             .collect();
-        heard.insert(self.id);
-        self.is_quorum(&heard)
+        reachable.insert(self.id);
+        self.is_quorum(&reachable)
     }
 
     pub(crate) fn send_to_all(&mut self) {
@@ -48,7 +49,7 @@
         let next = self.progress_of(to).next;
         let previous_index = next.saturating_sub(1);
         let previous_term = self.log.term_at(previous_index);
-        let entries = self.log.entries_after(previous_index, ENTRIES_PER_MESSAGE);
+        let entries = self.log.entries_after(previous_index, MAX_ENTRIES_PER_MESSAGE);
         let term = self.term;
         let message = match (previous_term, entries) {
             (Some(previous_term), Some(entries)) => Message::Append {
@@ -73,17 +74,17 @@
         commit: Index,
     ) {
         if !self.accepts_leader(from, term) {
-            return self.answer(from, false, 0);
+            return self.send_append_answer(from, false, 0);
         }
-        // What the snapshot covers is committed and agrees by itself.
+        // Entries covered by the snapshot are committed, so they match the leader's.
         let covered = self.log.snapshot().index;
         if previous_index >= covered && self.log.term_at(previous_index) != Some(previous_term) {
             let retry = self.log.last_index().min(previous_index.saturating_sub(1));
-            return self.answer(from, false, retry.max(self.commit));
+            return self.send_append_answer(from, false, retry.max(self.commit));
         }
         let last = previous_index + entries.len() as u64;
-        for (place, entry) in entries.into_iter().enumerate() {
-            let index = previous_index + 1 + place as u64;
+        for (offset, entry) in entries.into_iter().enumerate() {
+            let index = previous_index + 1 + offset as u64;
             if index <= covered || self.log.term_at(index) == Some(entry.term) {
                 continue;
             }
@@ -92,12 +93,12 @@
         }
         self.commit = self.commit.max(commit.min(last));
         self.apply_committed();
-        self.answer(from, true, last);
+        self.send_append_answer(from, true, last);
     }
 
     pub(crate) fn handle_install(&mut self, from: ReplicaId, term: Term, snapshot: Snapshot<M>) {
         if !self.accepts_leader(from, term) {
-            return self.answer(from, false, 0);
+            return self.send_append_answer(from, false, 0);
         }
         let index = snapshot.index;
         if index > self.commit {
@@ -106,7 +107,7 @@
             self.machine = snapshot.machine.clone();
             self.log.install(snapshot);
         }
-        self.answer(from, true, index);
+        self.send_append_answer(from, true, index);
     }
 
     fn accepts_leader(&mut self, from: ReplicaId, term: Term) -> bool {
@@ -114,11 +115,11 @@
             return false;
         }
         self.become_follower(term, Some(from));
-        self.leader_heard = Some(self.now);
+        self.leader_seen_at = Some(self.now);
         true
     }
 
-    fn answer(&mut self, to: ReplicaId, success: bool, index: Index) {
+    fn send_append_answer(&mut self, to: ReplicaId, success: bool, index: Index) {
         let term = self.term;
         self.send(to, Message::AppendAnswer { term, success, index });
     }
@@ -130,8 +131,8 @@
         success: bool,
         index: Index,
     ) {
-        let known = self.progress.contains_key(&from);
-        if self.role != Role::Leader || term != self.term || !known {
+        let is_tracked = self.progress.contains_key(&from);
+        if self.role != Role::Leader || term != self.term || !is_tracked {
             return;
         }
         let (now, last) = (self.now, self.log.last_index());
@@ -151,8 +152,9 @@
         }
     }
 
-    /// Commits what a majority holds. Only an entry of the own term is counted;
-    /// the earlier ones are committed with it.
+    /// Commits the entries that a majority holds. Replicas are counted only for
+    /// entries of the leader's own term; earlier entries are committed with these
+    /// (Raft's commit rule).
     pub(crate) fn advance_commit(&mut self) {
         for index in (self.commit + 1..=self.log.last_index()).rev() {
             if self.log.term_at(index) != Some(self.term) {
@@ -187,21 +189,21 @@
             self.applied = index;
         }
         self.step_down_if_removed();
-        self.compact_if_long();
+        self.compact_if_due();
     }
 
-    /// A leader that is no voter any more, by a committed change, gives way.
+    /// A leader that a committed membership change has removed steps down.
     fn step_down_if_removed(&mut self) {
-        let (_, since) = self.log.voters();
-        if self.role == Role::Leader && since <= self.commit && !self.is_voter(self.id) {
+        let (_, voters_index) = self.log.voters();
+        if self.role == Role::Leader && voters_index <= self.commit && !self.is_voter(self.id) {
             let term = self.term;
             self.become_follower(term, None);
         }
     }
 
-    fn compact_if_long(&mut self) {
-        let kept = self.applied.saturating_sub(self.log.snapshot().index);
-        if kept as usize >= self.options.compact_after {
+    fn compact_if_due(&mut self) {
+        let compactable = self.applied.saturating_sub(self.log.snapshot().index);
+        if compactable as usize >= self.options.compact_after {
             self.log.compact(self.applied, self.machine.clone());
         }
     }
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -1,5 +1,7 @@
-//! Thousands of seeded schedules of loss, doubling, delay, cuts, crashes that
-//! lose all memory, and replacements, with invariants checked at every step.
+//! Simulates a group under thousands of seeded fault schedules and checks the
+//! protocol's invariants at every step. The faults are message loss, duplication and
+//! delay, partitions, and crashes that lose all memory, after which a new replica
+//! replaces the crashed one.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -7,26 +9,28 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use weirhinge_consensus::{
-    Candidate, Envelope, Machine, MembershipChange, MembershipPlan, Node, NodeOptions, Output,
-    ReplicaId, Role, Snapshot, plan_change,
+    Envelope, MembershipChange, MembershipPlan, Node, NodeOptions, Output, ReplicaId,
+    ReplicaStatus, Role, Snapshot, StateMachine, plan_change,
 };
 
-/// Schedules in the ordinary run. `WEIRHINGE_SCHEDULES` sets another number.
+/// Default number of schedules. The environment variable `WEIRHINGE_SCHEDULES`
+/// overrides it.
 const SCHEDULES: u64 = 10_000;
 const THREADS: u64 = 8;
 const STEP: Duration = Duration::from_millis(20);
-/// Steps with faults, and steps in which everything must recover.
-const FAULTY_STEPS: u32 = 250;
-const CALM_STEPS: u32 = 150;
+/// Steps with faults.
+const FAULT_STEPS: u32 = 250;
+/// Steps without faults that follow, in which the group has to recover.
+const RECOVERY_STEPS: u32 = 150;
 const VOTERS: u64 = 5;
 const PLAN: MembershipPlan = MembershipPlan { size: 5 };
 const DEAD_AFTER: Duration = Duration::from_millis(400);
 
-/// The machine of the simulation: every command, in order.
+/// The state machine of the simulation: all applied commands, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct History(Vec<u64>);
 
-impl Machine for History {
+impl StateMachine for History {
     type Command = u64;
 
     fn apply(&mut self, command: &u64) {
@@ -34,43 +38,43 @@
     }
 }
 
-/// A defect planted on purpose.
+/// A defect that a run introduces on purpose, to show that the checks detect it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Plant {
+enum PlantedDefect {
     Nothing,
-    /// A crashed voter comes back under its old identity without its memory.
+    /// A crashed voter restarts without its memory but with its old identity.
     AmnesiacVoter,
-    /// Writes are acknowledged when the leader has them.
+    /// Writes are acknowledged as soon as the leader has appended them.
     EarlyAcknowledgement,
 }
 
 struct InFlight {
-    due: u32,
+    due_step: u32,
     envelope: Envelope<History>,
 }
 
-struct World {
-    plant: Plant,
-    random: ChaCha8Rng,
+struct Simulation {
+    defect: PlantedDefect,
+    rng: ChaCha8Rng,
     nodes: BTreeMap<ReplicaId, Node<History>>,
     messages: Vec<InFlight>,
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    blocked_links: BTreeSet<(ReplicaId, ReplicaId)>,
     step: u32,
     next_id: u64,
     next_command: u64,
-    /// Every command that any replica has seen committed, by index.
+    /// All commands that any replica has reported as committed, by index.
     committed: BTreeMap<u64, u64>,
-    /// Commands whose writers were told that they hold.
+    /// Commands whose commit was acknowledged to the writer.
     acknowledged: Vec<u64>,
-    /// Writes that wait for their commit: proposer, index, command.
-    waiting: VecDeque<(ReplicaId, u64, u64)>,
-    leaders: BTreeMap<u64, ReplicaId>,
-    replacements: u64,
+    /// Writes that are not committed yet: proposer, index, command.
+    pending_writes: VecDeque<(ReplicaId, u64, u64)>,
+    leader_by_term: BTreeMap<u64, ReplicaId>,
+    membership_changes: u64,
 }
 
 fn options(id: u64) -> NodeOptions {
     NodeOptions {
-        heartbeat: Duration::from_millis(40),
+        heartbeat_interval: Duration::from_millis(40),
         election_timeout: Duration::from_millis(150),
         compact_after: 12,
         seed: id.wrapping_mul(77),
@@ -82,27 +86,27 @@
     Snapshot { index: 0, term: 0, voters, machine: History::default() }
 }
 
-type Checked = Result<(), String>;
+type CheckResult = Result<(), String>;
 
-impl World {
-    fn new(seed: u64, plant: Plant) -> Self {
+impl Simulation {
+    fn new(seed: u64, defect: PlantedDefect) -> Self {
         let nodes = (1..=VOTERS)
             .map(|id| (ReplicaId(id), Node::new(ReplicaId(id), first_snapshot(), options(id))))
             .collect();
         Self {
-            plant,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            defect,
+            rng: ChaCha8Rng::seed_from_u64(seed),
             nodes,
             messages: Vec::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             step: 0,
             next_id: VOTERS + 1,
             next_command: 1,
             committed: BTreeMap::new(),
             acknowledged: Vec::new(),
-            waiting: VecDeque::new(),
-            leaders: BTreeMap::new(),
-            replacements: 0,
+            pending_writes: VecDeque::new(),
+            leader_by_term: BTreeMap::new(),
+            membership_changes: 0,
         }
     }
 
@@ -110,88 +114,97 @@
         STEP * self.step
     }
 
-    fn run(&mut self) -> Checked {
-        for _ in 0..FAULTY_STEPS {
-            self.disturb();
+    fn run(&mut self) -> CheckResult {
+        for _ in 0..FAULT_STEPS {
+            self.inject_faults();
             self.advance(true)?;
         }
-        self.cuts.clear();
-        for _ in 0..CALM_STEPS {
+        self.blocked_links.clear();
+        for _ in 0..RECOVERY_STEPS {
             self.advance(false)?;
         }
         self.check_recovered()
     }
 
-    fn advance(&mut self, faulty: bool) -> Checked {
+    fn advance(&mut self, with_faults: bool) -> CheckResult {
         self.step += 1;
         let now = self.now();
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         for id in ids {
             if let Some(node) = self.nodes.get_mut(&id) {
                 let outputs = node.tick(now);
-                self.carry_out(id, outputs, faulty)?;
+                self.execute_outputs(id, outputs, with_faults)?;
             }
         }
-        self.deliver(faulty)?;
-        self.write(faulty)?;
-        self.change_members(faulty)?;
+        self.deliver(with_faults)?;
+        self.propose_writes(with_faults)?;
+        self.change_members(with_faults)?;
         self.acknowledge();
         self.check_leaders()
     }
 
-    fn carry_out(&mut self, id: ReplicaId, outputs: Vec<Output<History>>, faulty: bool) -> Checked {
+    fn execute_outputs(
+        &mut self,
+        id: ReplicaId,
+        outputs: Vec<Output<History>>,
+        with_faults: bool,
+    ) -> CheckResult {
         for output in outputs {
             match output {
-                Output::Send(envelope) => self.send(envelope, faulty),
+                Output::Send(envelope) => self.send(envelope, with_faults),
                 Output::Committed { index, command } => self.note_commit(id, index, command)?,
             }
         }
         Ok(())
     }
 
-    fn send(&mut self, envelope: Envelope<History>, faulty: bool) {
-        let pair = (envelope.from, envelope.to);
-        if self.cuts.contains(&pair) || (faulty && self.random.random_bool(0.05)) {
+    fn send(&mut self, envelope: Envelope<History>, with_faults: bool) {
+        let link = (envelope.from, envelope.to);
+        if self.blocked_links.contains(&link) || (with_faults && self.rng.random_bool(0.05)) {
             return;
         }
-        let copies = 1 + u32::from(faulty && self.random.random_bool(0.03));
+        let copies = 1 + u32::from(with_faults && self.rng.random_bool(0.03));
         for _ in 0..copies {
-            let late = faulty && self.random.random_bool(0.05);
-            let delay = if late { self.random.random_range(1..40) } else { 1 };
-            let due = self.step + delay;
-            self.messages.push(InFlight { due, envelope: envelope.clone() });
+            let late = with_faults && self.rng.random_bool(0.05);
+            let delay = if late { self.rng.random_range(1..40) } else { 1 };
+            let due_step = self.step + delay;
+            self.messages.push(InFlight { due_step, envelope: envelope.clone() });
         }
     }
 
-    fn deliver(&mut self, faulty: bool) -> Checked {
+    fn deliver(&mut self, with_faults: bool) -> CheckResult {
         let step = self.step;
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.messages).into_iter().partition(|one| one.due <= step);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
+            .into_iter()
+            .partition(|message| message.due_step <= step);
         self.messages = later;
         let now = self.now();
         for InFlight { envelope, .. } in due {
             let to = envelope.to;
             if let Some(node) = self.nodes.get_mut(&to) {
                 let outputs = node.receive(envelope, now);
-                self.carry_out(to, outputs, faulty)?;
+                self.execute_outputs(to, outputs, with_faults)?;
             }
         }
         Ok(())
     }
 
-    fn note_commit(&mut self, id: ReplicaId, index: u64, command: u64) -> Checked {
+    fn note_commit(&mut self, id: ReplicaId, index: u64, command: u64) -> CheckResult {
         let known = *self.committed.entry(index).or_insert(command);
         if known != command {
-            return Err(format!("{id}: index {index} holds {command}, elsewhere {known}"));
+            return Err(format!(
+                "{id}: index {index} has command {command}, but another replica committed {known}"
+            ));
         }
         Ok(())
     }
 
-    /// The leaders write, each now and then; a deposed one may not know yet.
-    fn write(&mut self, faulty: bool) -> Checked {
-        let leaders: Vec<ReplicaId> = self.leaders_now();
+    /// Lets every leader propose a write now and then. A deposed leader may not have
+    /// noticed yet that it was deposed.
+    fn propose_writes(&mut self, with_faults: bool) -> CheckResult {
+        let leaders: Vec<ReplicaId> = self.current_leaders();
         for id in leaders {
-            if !self.random.random_bool(0.3) {
+            if !self.rng.random_bool(0.3) {
                 continue;
             }
             let command = self.next_command;
@@ -200,34 +213,34 @@
             };
             if let Ok((index, outputs)) = node.propose(command) {
                 self.next_command += 1;
-                if self.plant == Plant::EarlyAcknowledgement {
+                if self.defect == PlantedDefect::EarlyAcknowledgement {
                     self.acknowledged.push(command);
                 } else {
-                    self.waiting.push_back((id, index, command));
+                    self.pending_writes.push_back((id, index, command));
                 }
-                self.carry_out(id, outputs, faulty)?;
+                self.execute_outputs(id, outputs, with_faults)?;
             }
         }
         Ok(())
     }
 
-    /// A write is acknowledged once its proposer sees its index committed with
-    /// the term that it was written in, that is, with the command itself.
+    /// Acknowledges each write once its proposer sees its index committed with the
+    /// command itself, which means in the term in which it was proposed.
     fn acknowledge(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        for (id, index, command) in waiting {
+        let pending_writes = std::mem::take(&mut self.pending_writes);
+        for (id, index, command) in pending_writes {
             let Some(node) = self.nodes.get(&id) else {
                 continue;
             };
             if node.commit() < index {
-                self.waiting.push_back((id, index, command));
+                self.pending_writes.push_back((id, index, command));
             } else if self.committed.get(&index) == Some(&command) {
                 self.acknowledged.push(command);
             }
         }
     }
 
-    fn leaders_now(&self) -> Vec<ReplicaId> {
+    fn current_leaders(&self) -> Vec<ReplicaId> {
         self.nodes
             .iter()
             .filter(|(_, node)| node.role() == Role::Leader)
@@ -235,22 +248,23 @@
             .collect()
     }
 
-    /// Leaders bring learners up and follow the plan for the voters.
-    fn change_members(&mut self, faulty: bool) -> Checked {
-        let alive: Vec<ReplicaId> = self.nodes.keys().copied().collect();
-        for id in self.leaders_now() {
+    /// Lets every leader replicate to all learners and propose the membership change
+    /// that is planned next.
+    fn change_members(&mut self, with_faults: bool) -> CheckResult {
+        let running: Vec<ReplicaId> = self.nodes.keys().copied().collect();
+        for id in self.current_leaders() {
             let Some(node) = self.nodes.get_mut(&id) else {
                 continue;
             };
             let voters = node.voters().to_vec();
-            for &other in &alive {
+            for &other in &running {
                 if voters.contains(&other) {
                     node.remove_learner(other);
                 } else {
                     node.add_learner(other);
                 }
             }
-            let candidate = |other: ReplicaId| Candidate {
+            let replica = |other: ReplicaId| ReplicaStatus {
                 id: other,
                 zone: format!("zone-{}", other.0 % 3),
                 liveness: node.liveness(other, DEAD_AFTER),
@@ -258,26 +272,28 @@
                 caught_up: other == id
                     || node.matched(other).is_some_and(|matched| matched >= node.commit()),
             };
-            let known: BTreeSet<ReplicaId> = alive.iter().chain(&voters).copied().collect();
-            let candidates: Vec<Candidate> = known.into_iter().map(candidate).collect();
-            let mut wanted = voters.clone();
-            match plan_change(&PLAN, id, &voters, &candidates) {
-                Some(MembershipChange::Add(added)) => wanted.push(added),
-                Some(MembershipChange::Remove(removed)) => wanted.retain(|&one| one != removed),
+            let known: BTreeSet<ReplicaId> = running.iter().chain(&voters).copied().collect();
+            let replicas: Vec<ReplicaStatus> = known.into_iter().map(replica).collect();
+            let mut proposed = voters.clone();
+            match plan_change(&PLAN, id, &voters, &replicas) {
+                Some(MembershipChange::Add(added)) => proposed.push(added),
+                Some(MembershipChange::Remove(removed)) => {
+                    proposed.retain(|&voter| voter != removed)
+                }
                 None => continue,
             }
-            if let Ok((_, outputs)) = node.propose_voters(wanted) {
-                self.replacements += 1;
-                self.carry_out(id, outputs, faulty)?;
+            if let Ok((_, outputs)) = node.propose_voters(proposed) {
+                self.membership_changes += 1;
+                self.execute_outputs(id, outputs, with_faults)?;
             }
         }
         Ok(())
     }
 
-    fn check_leaders(&mut self) -> Checked {
+    fn check_leaders(&mut self) -> CheckResult {
         for (&id, node) in &self.nodes {
             if node.role() == Role::Leader {
-                let known = *self.leaders.entry(node.term()).or_insert(id);
+                let known = *self.leader_by_term.entry(node.term()).or_insert(id);
                 if known != id {
                     return Err(format!("term {} has leaders {known} and {id}", node.term()));
                 }
@@ -286,65 +302,65 @@
         Ok(())
     }
 
-    fn disturb(&mut self) {
-        if self.random.random_bool(0.04) {
-            self.crash();
+    fn inject_faults(&mut self) {
+        if self.rng.random_bool(0.04) {
+            self.replace_random_replica();
         }
-        if self.random.random_bool(0.05) {
-            self.cut();
+        if self.rng.random_bool(0.05) {
+            self.add_partition();
         }
-        if self.random.random_bool(0.08) {
-            self.cuts.clear();
+        if self.rng.random_bool(0.08) {
+            self.blocked_links.clear();
         }
     }
 
-    fn cut(&mut self) {
+    fn add_partition(&mut self) {
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
         let side: BTreeSet<ReplicaId> =
-            ids.iter().copied().filter(|_| self.random.random_bool(0.4)).collect();
+            ids.iter().copied().filter(|_| self.rng.random_bool(0.4)).collect();
         for &one in &ids {
             for &other in &ids {
                 if side.contains(&one) != side.contains(&other) {
-                    self.cuts.insert((one, other));
+                    self.blocked_links.insert((one, other));
                 }
             }
         }
     }
 
-    /// Kills one replica with all its memory, and starts a new one. At most as
-    /// many voters die as every living replica's majority can spare: losing a
-    /// majority at once is beyond what any protocol without disks survives.
-    fn crash(&mut self) {
+    /// Kills one replica with all its memory and starts a new one. Does nothing if,
+    /// by the voters of any live replica, no majority would remain: no protocol
+    /// without disks survives the loss of a majority at once.
+    fn replace_random_replica(&mut self) {
         let ids: Vec<ReplicaId> = self.nodes.keys().copied().collect();
-        let victim = ids[self.random.random_range(0..ids.len())];
-        let majority_stays = self.nodes.values().all(|node| {
-            let left = node
+        let victim = ids[self.rng.random_range(0..ids.len())];
+        let majority_remains = self.nodes.values().all(|node| {
+            let remaining = node
                 .voters()
                 .iter()
                 .filter(|&&voter| voter != victim && self.nodes.contains_key(&voter))
                 .count();
-            2 * left > node.voters().len()
+            2 * remaining > node.voters().len()
         });
-        if !majority_stays {
+        if !majority_remains {
             return;
         }
         self.nodes.remove(&victim);
-        let id = if self.plant == Plant::AmnesiacVoter {
+        let id = if self.defect == PlantedDefect::AmnesiacVoter {
             victim
         } else {
             self.next_id += 1;
             ReplicaId(self.next_id)
         };
-        // A newcomer starts from the base document, like any machine.
+        // A new replica is a learner and starts from the initial state.
         let mut snapshot = first_snapshot();
-        if self.plant != Plant::AmnesiacVoter {
+        if self.defect != PlantedDefect::AmnesiacVoter {
             snapshot.voters.clear();
         }
         self.nodes.insert(id, Node::new(id, snapshot, options(id.0)));
     }
 
-    /// Every replica's state, for finding the cause of a failure.
-    fn describe(&self) -> String {
+    /// Describes the state of every replica, to help to find the cause of a failure.
+    fn describe_replicas(&self) -> String {
         let mut text = String::new();
         for (id, node) in &self.nodes {
             text += &format!(
@@ -360,12 +376,15 @@
         text
     }
 
-    fn check_recovered(&self) -> Checked {
-        let leaders = self.leaders_now();
+    fn check_recovered(&self) -> CheckResult {
+        let leaders = self.current_leaders();
         let Some(leader) =
             leaders.iter().filter_map(|id| self.nodes.get(id)).max_by_key(|node| node.term())
         else {
-            return Err(format!("no leader after the faults: {}", self.describe()));
+            return Err(format!(
+                "no leader after the recovery steps: {}",
+                self.describe_replicas()
+            ));
         };
         let history = &leader.machine().0;
         for command in &self.acknowledged {
@@ -375,55 +394,65 @@
         }
         let expected: Vec<u64> = self.committed.values().copied().collect();
         if history.len() < expected.len() || history[..expected.len()] != expected[..] {
-            return Err("the leader's state differs from what was committed".to_owned());
+            return Err("the leader's state differs from the committed commands".to_owned());
         }
         if self.acknowledged.len() < 10 {
-            return Err(format!("only {} writes were acknowledged", self.acknowledged.len()));
+            return Err(format!(
+                "expected at least 10 acknowledged writes, found {}",
+                self.acknowledged.len()
+            ));
         }
         Ok(())
     }
 }
 
-/// Runs schedules on several threads; returns the first failure by seed.
-fn run_schedules(count: u64, plant: Plant) -> Result<u64, String> {
+/// Runs the schedules on several threads. Returns the number of membership changes,
+/// or an error that names the seed of a failed schedule.
+fn run_schedules(count: u64, defect: PlantedDefect) -> Result<u64, String> {
     let handles: Vec<_> = (0..THREADS)
         .map(|thread| {
             std::thread::spawn(move || {
-                let mut replacements = 0;
+                let mut membership_changes = 0;
                 for seed in (thread..count).step_by(THREADS as usize) {
-                    let mut world = World::new(seed, plant);
-                    world.run().map_err(|error| format!("seed {seed}: {error}"))?;
-                    replacements += world.replacements;
+                    let mut simulation = Simulation::new(seed, defect);
+                    simulation.run().map_err(|error| format!("seed {seed}: {error}"))?;
+                    membership_changes += simulation.membership_changes;
                 }
-                Ok::<u64, String>(replacements)
+                Ok::<u64, String>(membership_changes)
             })
         })
         .collect();
-    let mut replacements = 0;
+    let mut membership_changes = 0;
     for handle in handles {
-        replacements += handle.join().map_err(|_| "a schedule panicked".to_owned())??;
+        membership_changes += handle.join().map_err(|_| "a schedule panicked".to_owned())??;
     }
-    Ok(replacements)
+    Ok(membership_changes)
 }
 
 #[test]
-fn no_schedule_loses_or_splits_what_was_accepted() {
+fn acknowledged_writes_survive_random_faults() {
     let count = std::env::var("WEIRHINGE_SCHEDULES")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(SCHEDULES);
-    let replacements = run_schedules(count, Plant::Nothing).expect("every invariant holds");
-    assert!(replacements > 2 * count, "voters are replaced: {replacements} changes");
+    let membership_changes =
+        run_schedules(count, PlantedDefect::Nothing).expect("every schedule keeps the invariants");
+    assert!(
+        membership_changes > 2 * count,
+        "too few voters were replaced: {membership_changes} changes in {count} schedules"
+    );
 }
 
 #[test]
-fn an_amnesiac_voter_is_caught() {
-    let error = run_schedules(3_000, Plant::AmnesiacVoter).expect_err("caught");
+fn voter_reusing_its_identity_after_memory_loss_is_detected() {
+    let error =
+        run_schedules(3_000, PlantedDefect::AmnesiacVoter).expect_err("the defect is detected");
     assert!(!error.contains("panicked"), "{error}");
 }
 
 #[test]
-fn an_acknowledgement_before_a_quorum_is_caught() {
-    let error = run_schedules(500, Plant::EarlyAcknowledgement).expect_err("caught");
+fn acknowledgement_before_quorum_is_detected() {
+    let error = run_schedules(500, PlantedDefect::EarlyAcknowledgement)
+        .expect_err("the defect is detected");
     assert!(error.contains("lost"), "{error}");
 }
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -211,7 +211,7 @@
 
     fn start_node(&mut self, snapshot: Snapshot<ConfigMachine>) {
         let options = NodeOptions {
-            heartbeat: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT,
             election_timeout: ELECTION_TIMEOUT,
             compact_after: COMPACT_AFTER,
             seed: self.id.0,
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use weirhinge_config::{ConfigDocument, Service, ServiceId, Target, TargetId};
-use weirhinge_consensus::Machine;
+use weirhinge_consensus::StateMachine;
 
 /// Outcomes remembered, so that a repeated write finds its first outcome.
 const REMEMBERED_OUTCOMES: usize = 1_024;
@@ -124,7 +124,7 @@
     }
 }
 
-impl Machine for ConfigMachine {
+impl StateMachine for ConfigMachine {
     type Command = ConfigCommand;
 
     fn apply(&mut self, command: &ConfigCommand) {
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use weirhinge_consensus::{
-    Candidate, MembershipChange, MembershipPlan, Node, ReplicaId, plan_change,
+    MembershipChange, MembershipPlan, Node, ReplicaId, ReplicaStatus, plan_change,
 };
 
 use crate::frame::Sender;
@@ -63,7 +63,7 @@
         known.extend_from_slice(node.voters());
         known.sort_unstable();
         known.dedup();
-        let candidate = |id: ReplicaId| Candidate {
+        let candidate = |id: ReplicaId| ReplicaStatus {
             id,
             zone: match self.peers.get(&id) {
                 Some(peer) => peer.zone.clone(),
@@ -74,7 +74,7 @@
             caught_up: id == node.id()
                 || node.matched(id).is_some_and(|matched| matched >= node.commit()),
         };
-        let candidates: Vec<Candidate> = known.into_iter().map(candidate).collect();
+        let candidates: Vec<ReplicaStatus> = known.into_iter().map(candidate).collect();
         let mut wanted = node.voters().to_vec();
         match plan_change(&PLAN, node.id(), node.voters(), &candidates)? {
             MembershipChange::Add(id) => wanted.push(id),
--- a/crates/control/tests/machine.rs
+++ b/crates/control/tests/machine.rs
@@ -1,7 +1,7 @@
 //! Writes to the replicated configuration: preconditions, checks, and repeats.
 
 use weirhinge_config::{ConfigDocument, TargetId, TargetState};
-use weirhinge_consensus::Machine;
+use weirhinge_consensus::StateMachine;
 use weirhinge_control::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
 
 const DOCUMENT: &str = r#"
