--- a/crates/document-source/src/follower.rs
+++ b/crates/document-source/src/follower.rs
@@ -1,5 +1,5 @@
-//! Keeps a daemon's configuration in step with the platform, with its log
-//! lines and metrics. Shared by every role.
+//! Keeps a daemon's configuration up to date, and reports on it by log lines and
+//! metrics. Used by agents and balancers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 
 use crate::watch::{Following, WatchEvent, WatchOutcome, run_watch};
 
-/// When the platform last confirmed the configuration in force.
+/// When a source last confirmed that the configuration in effect is the newest.
 #[derive(Debug)]
 pub struct ConfigFreshness {
     started: Instant,
-    /// Milliseconds from `started`, plus one; 0 before the first confirmation.
+    /// Milliseconds since `started`, plus one. 0 before the first confirmation.
     confirmed: AtomicU64,
 }
 
@@ -32,7 +32,8 @@
         self.confirmed.store(now, Ordering::Relaxed);
     }
 
-    /// Whole seconds since the last confirmation, if there was one.
+    /// Returns the whole seconds since the last confirmation, or `None` before the
+    /// first one.
     pub fn age_seconds(&self) -> Option<u64> {
         let confirmed = self.confirmed.load(Ordering::Relaxed);
         let now = self.started.elapsed().as_millis() as u64 + 1;
@@ -40,43 +41,44 @@
     }
 }
 
-/// A logger and the fixed prefix of the part that writes.
+/// A logger, and the prefix of the messages logged with it.
 #[derive(Clone, Debug)]
 pub struct FollowerLog {
-    /// The process's logger.
+    /// The daemon's logger.
     pub log: Logger,
-    /// Prefix of every line.
+    /// Prefix of every message, such as "agent".
     pub part: &'static str,
 }
 
-/// Follows the platform for one daemon.
+/// Polls for new configuration documents on behalf of one daemon.
 #[derive(Debug)]
 pub struct ConfigFollower {
     /// The platform's address.
     pub platform: SocketAddr,
-    /// Whom to poll.
+    /// The sources to poll.
     pub following: Following,
-    /// Updated by every confirmation.
+    /// Updated whenever a source confirms the configuration.
     pub freshness: Arc<ConfigFreshness>,
-    /// Counts polls without use.
+    /// Counts polls that failed or returned an unusable document, by reason.
     pub errors: ReasonCounters,
-    /// Where to log.
+    /// The logger and the prefix of its messages.
     pub log: FollowerLog,
 }
 
 impl ConfigFollower {
-    /// Polls the platform until dropped; calls `apply` with each newer document.
+    /// Polls until dropped. Calls `apply` with each newer valid document.
     pub async fn run(self, mut apply: impl FnMut(Arc<ConfigDocument>)) {
         let mut was_failing = false;
         run_watch(self.platform, self.following, |event| {
-            let failing = self.report(event, was_failing, &mut apply);
+            let failing = self.handle_event(event, was_failing, &mut apply);
             was_failing = failing;
         })
         .await;
     }
 
-    /// Returns whether the platform is failing; a lasting failure is logged once.
-    fn report(
+    /// Handles the result of one poll and returns whether it failed. Successive
+    /// failures are logged only once.
+    fn handle_event(
         &self,
         event: WatchEvent,
         was_failing: bool,
@@ -89,23 +91,23 @@
                 false
             }
             WatchEvent::Served(WatchOutcome::Apply(document)) => {
-                info!(log, "{}: Configuration in force.", part; "revision" => document.revision);
+                info!(log, "{}: Received a new configuration.", part; "revision" => document.revision);
                 self.freshness.confirm();
                 apply(document);
                 false
             }
-            WatchEvent::Served(WatchOutcome::Stale { served, in_force }) => {
+            WatchEvent::Served(WatchOutcome::Stale { served, in_effect }) => {
                 self.errors.increment("stale");
                 if !was_failing {
-                    warn!(log, "{}: An older configuration is served.", part;
-                        "served" => served, "in_force" => in_force);
+                    warn!(log, "{}: Ignored a configuration older than the one in effect.", part;
+                        "served" => served, "in_force" => in_effect);
                 }
                 true
             }
             WatchEvent::Served(WatchOutcome::Invalid(error)) => {
                 self.errors.increment("invalid");
                 if !was_failing {
-                    warn!(log, "{}: An invalid configuration is served.", part;
+                    warn!(log, "{}: Ignored an invalid configuration.", part;
                         "error" => %error);
                 }
                 true
@@ -113,7 +115,7 @@
             WatchEvent::Failed(error) => {
                 self.errors.increment("unreachable");
                 if !was_failing {
-                    warn!(log, "{}: Configuration cannot be read.", part; "error" => %error);
+                    warn!(log, "{}: Could not fetch the configuration.", part; "error" => %error);
                 }
                 true
             }
--- a/crates/document-source/src/lib.rs
+++ b/crates/document-source/src/lib.rs
@@ -1,8 +1,9 @@
-//! Reads the platform: its configuration service and its list of machines.
+//! Reads the configuration document and the machine list from the platform, and the
+//! agreed configuration from the balancers.
 //!
-//! The platform can only be read; it lags, goes stale or away. This crate turns
-//! it into a [`ConfigWatch`]: the newest valid document seen, which never goes
-//! back to a lower revision.
+//! The platform is read-only for weirhinge, and may lag, serve stale data or be
+//! unreachable. [`ConfigWatch`] therefore keeps the newest valid document seen, and
+//! never returns to a lower revision.
 
 mod client;
 mod follower;
@@ -12,7 +13,7 @@
 pub use follower::{ConfigFollower, ConfigFreshness, FollowerLog};
 pub use watch::{ConfigWatch, Following, SourceKind, WatchEvent, WatchOutcome, run_watch};
 
-/// Path of the configuration document on the platform.
+/// HTTP path of the configuration document, on the platform and the balancers.
 pub const CONFIGURATION_PATH: &str = "/v1/configuration";
-/// Path of the machine list on the platform.
+/// HTTP path of the platform's machine list.
 pub const MACHINES_PATH: &str = "/v1/machines";
--- a/crates/document-source/src/watch.rs
+++ b/crates/document-source/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration document, from the platform and the balancers.
+//! Polls the platform and the balancers for the configuration document.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,103 +9,110 @@
 use crate::client::{FetchError, Fetched, fetch};
 use crate::{CONFIGURATION_PATH, MACHINES_PATH};
 
-/// Time between two polls of the platform.
+/// Interval between polls.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Polls between two readings of the machine list.
-const TICKS_PER_LIST: u32 = 4;
-/// Longest that one poll may take.
+/// Number of polls per reading of the machine list.
+const POLLS_PER_LIST_READ: u32 = 4;
+/// Timeout of one request.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who serves a document.
+/// The kind of source that served a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SourceKind {
-    /// The platform: the document that a deployment starts from.
+    /// The platform, which has the document that a deployment starts from.
     Platform,
-    /// A balancer: what the balancers have agreed on. Once such a document has
-    /// been seen, the platform's is not looked at any more.
+    /// A balancer, which has the document that the balancers have agreed on. Once
+    /// such a document has been seen, the platform's document is ignored.
     Balancer,
 }
 
-/// Decides what to do with each document that is served. Pure: the documents
-/// are passed in.
+/// Keeps the newest valid document, and decides for each served document whether it
+/// takes effect. Does no I/O.
 #[derive(Debug, Default)]
 pub struct ConfigWatch {
-    in_force: Arc<ConfigDocument>,
-    agreed: bool,
+    in_effect: Arc<ConfigDocument>,
+    agreed_document_seen: bool,
 }
 
-/// What became of a served document.
+/// The result of handling a served document.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// The document is newer and valid: put it in force.
+    /// The document is valid and newer: apply it.
     Apply(Arc<ConfigDocument>),
-    /// The document has the revision in force already.
+    /// The document has the revision in effect, or is the platform's and ignored
+    /// because the balancers have agreed on one.
     Current,
-    /// The document is older than the one in force and is ignored.
+    /// The document is older than the one in effect and was ignored.
     Stale {
         /// The revision served.
         served: u64,
-        /// The revision in force.
-        in_force: u64,
+        /// The revision in effect.
+        in_effect: u64,
     },
-    /// The document failed its checks; the one in force stays.
+    /// The document is invalid. The one in effect stays.
     Invalid(ConfigError),
 }
 
 impl ConfigWatch {
-    /// Whether the balancers' agreed document has been seen.
-    pub fn has_agreed(&self) -> bool {
-        self.agreed
+    /// Whether a document that the balancers agreed on has been seen.
+    pub fn has_seen_agreed_document(&self) -> bool {
+        self.agreed_document_seen
     }
 
-    /// Takes in the bytes of a served document.
-    pub fn consider(&mut self, kind: SourceKind, origin: &str, bytes: &[u8]) -> WatchOutcome {
+    /// Handles a served document, given as JSON. `origin` names its source in errors.
+    pub fn handle_document(
+        &mut self,
+        kind: SourceKind,
+        origin: &str,
+        bytes: &[u8],
+    ) -> WatchOutcome {
         let document = match ConfigDocument::from_json(origin, bytes) {
             Ok(document) => document,
             Err(error) => return WatchOutcome::Invalid(error),
         };
-        let (served, in_force) = (document.revision, self.in_force.revision);
+        let (served, in_effect) = (document.revision, self.in_effect.revision);
         if kind == SourceKind::Balancer {
-            self.agreed = true;
-        } else if self.agreed {
+            self.agreed_document_seen = true;
+        } else if self.agreed_document_seen {
             return WatchOutcome::Current;
         }
-        if served < in_force {
-            return WatchOutcome::Stale { served, in_force };
+        if served < in_effect {
+            return WatchOutcome::Stale { served, in_effect };
         }
-        if served == in_force {
+        if served == in_effect {
             return WatchOutcome::Current;
         }
-        if let Err(error) = document.check_successor(origin, &self.in_force) {
+        if let Err(error) = document.check_successor(origin, &self.in_effect) {
             return WatchOutcome::Invalid(error);
         }
-        self.in_force = Arc::new(document);
-        WatchOutcome::Apply(self.in_force.clone())
+        self.in_effect = Arc::new(document);
+        WatchOutcome::Apply(self.in_effect.clone())
     }
 }
 
-/// What one poll brought, for the daemon's log and metrics.
+/// The result of polling one source.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// A source answered.
+    /// The source served a document.
     Served(WatchOutcome),
-    /// A source confirmed that nothing has changed.
+    /// The source confirmed that its document has not changed.
     Unchanged,
-    /// No source could be read.
+    /// The source could not be read.
     Failed(FetchError),
 }
 
-/// Whom to poll.
+/// The sources that a daemon polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Following {
-    /// The platform alone, as balancers do, who agree among themselves.
+    /// Only the platform. Used by balancers, which receive the agreed document through
+    /// consensus.
     Platform,
-    /// The balancers on the platform's machine list, and the platform until one
-    /// of them has an agreed document.
+    /// The balancers on the platform's machine list, and the platform until one of
+    /// the balancers has served an agreed document.
     Balancers,
 }
 
-/// The sources of one watch.
+/// Polls the sources and keeps the state of the polling.
 struct Poller {
     platform: SocketAddr,
     following: Following,
@@ -113,11 +120,11 @@
     platform_tag: Option<String>,
     balancer_tag: Option<String>,
     balancers: Vec<SocketAddr>,
-    /// Which balancer to ask; moves on when one does not answer.
-    place: usize,
+    /// Selects the balancer to poll; advances when a request to it fails.
+    balancer_index: usize,
 }
 
-/// Polls until the process ends, and reports each poll.
+/// Polls until dropped, and passes the result of each poll to `report`.
 pub async fn run_watch(
     platform: SocketAddr,
     following: Following,
@@ -130,18 +137,18 @@
         platform_tag: None,
         balancer_tag: None,
         balancers: Vec::new(),
-        // Spreads daemons over the balancers.
-        place: std::process::id() as usize,
+        // Spreads the daemons over the balancers.
+        balancer_index: std::process::id() as usize,
     };
     let mut ticks = tokio::time::interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut number: u32 = 0;
+    let mut poll_count: u32 = 0;
     loop {
         ticks.tick().await;
-        if following == Following::Balancers && number.is_multiple_of(TICKS_PER_LIST) {
-            poller.read_list().await;
+        if following == Following::Balancers && poll_count.is_multiple_of(POLLS_PER_LIST_READ) {
+            poller.read_machine_list().await;
         }
-        number = number.wrapping_add(1);
+        poll_count = poll_count.wrapping_add(1);
         for event in poller.poll().await {
             report(event);
         }
@@ -149,8 +156,8 @@
 }
 
 impl Poller {
-    /// Reads the machine list; keeps the last one while the platform is away.
-    async fn read_list(&mut self) {
+    /// Reads the machine list. Keeps the last one while the platform is unavailable.
+    async fn read_machine_list(&mut self) {
         if let Ok(Fetched::Body { bytes, .. }) =
             fetch(self.platform, MACHINES_PATH, None, POLL_TIMEOUT).await
             && let Ok(list) = MachineList::from_json("machine list", &bytes)
@@ -164,7 +171,7 @@
         if self.following == Following::Balancers && !self.balancers.is_empty() {
             events.extend(self.poll_balancer().await);
         }
-        if !self.watch.has_agreed() {
+        if !self.watch.has_seen_agreed_document() {
             events.push(self.poll_platform().await);
         }
         events
@@ -177,29 +184,30 @@
             Ok(Fetched::Body { bytes, entity_tag }) => {
                 self.platform_tag = entity_tag;
                 let origin = format!("platform {}", self.platform);
-                let outcome = self.watch.consider(SourceKind::Platform, &origin, &bytes);
+                let outcome = self.watch.handle_document(SourceKind::Platform, &origin, &bytes);
                 WatchEvent::Served(outcome)
             }
             Err(error) => WatchEvent::Failed(error),
         }
     }
 
-    /// Polls one balancer. One that has no agreed document yet is no failure.
+    /// Polls one balancer. It is not an error if the balancer has no agreed document
+    /// yet (status 404).
     async fn poll_balancer(&mut self) -> Option<WatchEvent> {
-        let balancer = self.balancers[self.place % self.balancers.len()];
+        let balancer = self.balancers[self.balancer_index % self.balancers.len()];
         let tag = self.balancer_tag.as_deref();
         match fetch(balancer, CONFIGURATION_PATH, tag, POLL_TIMEOUT).await {
             Ok(Fetched::Unchanged) => Some(WatchEvent::Unchanged),
             Ok(Fetched::Body { bytes, entity_tag }) => {
                 self.balancer_tag = entity_tag;
                 let origin = format!("balancer {balancer}");
-                let outcome = self.watch.consider(SourceKind::Balancer, &origin, &bytes);
+                let outcome = self.watch.handle_document(SourceKind::Balancer, &origin, &bytes);
                 Some(WatchEvent::Served(outcome))
             }
             Err(error) => {
-                self.place = self.place.wrapping_add(1);
-                let is_without = matches!(error, FetchError::Status { status: 404, .. });
-                (!is_without).then_some(WatchEvent::Failed(error))
+                self.balancer_index = self.balancer_index.wrapping_add(1);
+                let has_no_document = matches!(error, FetchError::Status { status: 404, .. });
+                (!has_no_document).then_some(WatchEvent::Failed(error))
             }
         }
     }
--- a/crates/document-source/tests/watch.rs
+++ b/crates/document-source/tests/watch.rs
@@ -1,4 +1,4 @@
-//! A stale or invalid platform never reverts what is in force.
+//! Stale and invalid documents never replace the configuration in effect.
 
 use weirhinge_document_source::{ConfigWatch, SourceKind, WatchOutcome};
 
@@ -16,7 +16,7 @@
     .into_bytes()
 }
 
-fn revision(outcome: WatchOutcome) -> Option<u64> {
+fn applied_revision(outcome: WatchOutcome) -> Option<u64> {
     match outcome {
         WatchOutcome::Apply(document) => Some(document.revision),
         _ => None,
@@ -24,37 +24,61 @@
 }
 
 #[test]
-fn revisions_only_grow() {
+fn older_revision_is_ignored() {
     let mut watch = ConfigWatch::default();
-    assert_eq!(revision(watch.consider(SourceKind::Platform, "p", &document(3, 1))), Some(3));
-    assert_eq!(watch.consider(SourceKind::Platform, "p", &document(3, 1)), WatchOutcome::Current);
-    let stale = WatchOutcome::Stale { served: 2, in_force: 3 };
-    assert_eq!(watch.consider(SourceKind::Platform, "p", &document(2, 1)), stale);
-    assert_eq!(revision(watch.consider(SourceKind::Platform, "p", &document(7, 1))), Some(7));
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Platform, "p", &document(3, 1))),
+        Some(3)
+    );
+    assert_eq!(
+        watch.handle_document(SourceKind::Platform, "p", &document(3, 1)),
+        WatchOutcome::Current
+    );
+    let stale = WatchOutcome::Stale { served: 2, in_effect: 3 };
+    assert_eq!(watch.handle_document(SourceKind::Platform, "p", &document(2, 1)), stale);
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Platform, "p", &document(7, 1))),
+        Some(7)
+    );
 }
 
 #[test]
-fn invalid_documents_change_nothing() {
+fn invalid_document_is_rejected() {
     let mut watch = ConfigWatch::default();
-    watch.consider(SourceKind::Platform, "p", &document(3, 1));
-    assert!(matches!(watch.consider(SourceKind::Platform, "p", b"{"), WatchOutcome::Invalid(_)));
+    watch.handle_document(SourceKind::Platform, "p", &document(3, 1));
     assert!(matches!(
-        watch.consider(SourceKind::Platform, "p", &document(4, 9)),
+        watch.handle_document(SourceKind::Platform, "p", b"{"),
         WatchOutcome::Invalid(_)
     ));
     assert!(matches!(
-        watch.consider(SourceKind::Platform, "p", &document(4, 2)),
+        watch.handle_document(SourceKind::Platform, "p", &document(4, 9)),
         WatchOutcome::Invalid(_)
     ));
-    assert_eq!(revision(watch.consider(SourceKind::Platform, "p", &document(4, 1))), Some(4));
+    assert!(matches!(
+        watch.handle_document(SourceKind::Platform, "p", &document(4, 2)),
+        WatchOutcome::Invalid(_)
+    ));
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Platform, "p", &document(4, 1))),
+        Some(4)
+    );
 }
 
 #[test]
-fn an_agreed_document_stands_against_any_of_the_platform() {
+fn platform_document_is_ignored_after_agreed_one() {
     let mut watch = ConfigWatch::default();
-    assert_eq!(revision(watch.consider(SourceKind::Platform, "p", &document(3, 1))), Some(3));
-    assert_eq!(revision(watch.consider(SourceKind::Balancer, "b", &document(4, 1))), Some(4));
-    let ignored = watch.consider(SourceKind::Platform, "p", &document(9, 1));
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Platform, "p", &document(3, 1))),
+        Some(3)
+    );
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Balancer, "b", &document(4, 1))),
+        Some(4)
+    );
+    let ignored = watch.handle_document(SourceKind::Platform, "p", &document(9, 1));
     assert_eq!(ignored, WatchOutcome::Current);
-    assert_eq!(revision(watch.consider(SourceKind::Balancer, "b", &document(5, 1))), Some(5));
+    assert_eq!(
+        applied_revision(watch.handle_document(SourceKind::Balancer, "b", &document(5, 1))),
+        Some(5)
+    );
 }
