--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -14,11 +14,11 @@
 use weirhinge_document_source::{Fetched, MACHINES_PATH, fetch};
 
 use crate::frame::{CONTROL_VERSION, Frame, FrameBody, Sender};
+use crate::frame_auth::ReplayGuard;
 use crate::handle::{ControlHandle, ControlStatus, PendingWrite, status_of};
-use crate::machine::ConfigMachine;
 use crate::membership::Peers;
 use crate::network::{Senders, accept_frames};
-use crate::seal::ReplayGuard;
+use crate::state_machine::ConfigMachine;
 use crate::writes::{OwnWrite, Reply, Waiting};
 
 /// Time between two ticks of a replica.
--- a/crates/control/src/frame.rs
+++ b/crates/control/src/frame.rs
@@ -7,7 +7,7 @@
 use weirhinge_wire::WireAddress;
 
 use crate::handle::WriteError;
-use crate::machine::{ConfigCommand, ConfigMachine, Outcome};
+use crate::state_machine::{ConfigCommand, ConfigMachine, Outcome};
 
 /// Version of the protocol; frames of another one are dropped.
 pub(crate) const CONTROL_VERSION: u8 = 1;
--- a/crates/control/src/seal.rs
+++ b/crates/control/src/frame_auth.rs
@@ -62,5 +62,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/seal.rs"]
+#[path = "../tests/frame_auth.rs"]
 mod tests;
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -8,7 +8,7 @@
 use weirhinge_config::ConfigDocument;
 use weirhinge_consensus::{Node, ReplicaId, Role};
 
-use crate::machine::{ConfigCommand, ConfigMachine, Outcome};
+use crate::state_machine::{ConfigCommand, ConfigMachine, Outcome};
 
 /// Why a write has no outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,13 +3,13 @@
 
 pub mod driver;
 mod frame;
+mod frame_auth;
 mod handle;
-pub mod machine;
 mod membership;
 mod network;
-mod seal;
+pub mod state_machine;
 mod writes;
 
 pub use driver::{ControlOptions, start_control};
 pub use handle::{ControlHandle, ControlStatus, WriteError};
-pub use machine::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
+pub use state_machine::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::frame::Sender;
-use crate::machine::ConfigMachine;
+use crate::state_machine::ConfigMachine;
 
 /// Voters wanted; fewer while there are fewer balancers.
 const PLAN: MembershipPlan = MembershipPlan { size: 5 };
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -11,7 +11,7 @@
 use weirhinge_config::ControlKeys;
 
 use crate::frame::{CONTROL_VERSION, Frame};
-use crate::seal;
+use crate::frame_auth;
 
 /// Largest frame accepted, in bytes: a snapshot of a large document.
 const MAXIMUM_FRAME: usize = 64 << 20;
@@ -60,7 +60,7 @@
         }
         let mut bytes = vec![0; length];
         stream.read_exact(&mut bytes).await?;
-        let bytes = seal::open(keys, &bytes).map_err(std::io::Error::other)?;
+        let bytes = frame_auth::open(keys, &bytes).map_err(std::io::Error::other)?;
         let frame: Frame = musli::storage::from_slice(bytes).map_err(std::io::Error::other)?;
         if frame.version != CONTROL_VERSION {
             return Err(std::io::Error::other("another protocol version"));
@@ -87,7 +87,7 @@
         let Ok(bytes) = musli::storage::to_vec(frame) else {
             return;
         };
-        let bytes = seal::seal(&self.keys, &bytes);
+        let bytes = frame_auth::seal(&self.keys, &bytes);
         let queue = self.queues.entry(to).or_insert_with(|| start_sender(to));
         match queue.try_send(bytes) {
             Ok(()) | Err(mpsc::error::TrySendError::Full(_)) => {}
--- a/crates/control/src/writes.rs
+++ b/crates/control/src/writes.rs
@@ -10,7 +10,7 @@
 use crate::driver::Driver;
 use crate::frame::FrameBody;
 use crate::handle::{PendingWrite, WriteError};
-use crate::machine::{ConfigCommand, Outcome};
+use crate::state_machine::{ConfigCommand, Outcome};
 
 /// Longest that a write may wait for its commit, over all leaders.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/control/tests/seal.rs
+++ b/crates/control/tests/frame_auth.rs
@@ -69,7 +69,7 @@
 #[test]
 fn a_frame_survives_its_codec() {
     use crate::frame::{CONTROL_VERSION, Frame, FrameBody, Sender};
-    use crate::machine::{ConfigChange, ConfigCommand};
+    use crate::state_machine::{ConfigChange, ConfigCommand};
 
     let command = ConfigCommand {
         key: "key".to_owned(),
