--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -1,4 +1,4 @@
-//! The task that runs one replica: time, frames, writes and membership.
+//! The task that runs one replica: drives time, frames, writes and membership.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -13,100 +13,104 @@
 use weirhinge_consensus::{Node, NodeOptions, Output, ReplicaId, Role, Snapshot};
 use weirhinge_document_source::{Fetched, MACHINES_PATH, fetch};
 
-use crate::frame::{CONTROL_VERSION, Frame, FrameBody, Sender};
+use crate::frame::{CONTROL_VERSION, Frame, FrameBody, FrameSender};
 use crate::frame_auth::ReplayGuard;
-use crate::handle::{ControlHandle, ControlStatus, PendingWrite, status_of};
+use crate::handle::{ControlHandle, ControlStatus, PendingWrite, replica_status};
 use crate::membership::Peers;
-use crate::network::{Senders, accept_frames};
-use crate::state_machine::ConfigMachine;
-use crate::writes::{OwnWrite, Reply, Waiting};
+use crate::network::{PeerConnections, accept_frames};
+use crate::state_machine::ConfigStateMachine;
+use crate::writes::{LocalWrite, PendingCommit, ReplyTo};
 
-/// Time between two ticks of a replica.
-const TICK: Duration = Duration::from_millis(20);
-/// Time between two heartbeats of a leader.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// Shortest time without a leader before an election.
+/// Interval between ticks of the replica.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between a leader's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time without contact to a leader before an election.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
-/// Entries kept behind a snapshot.
-const COMPACT_AFTER: usize = 256;
-/// Time between two rounds of hellos, and of reading the machine list.
+/// Number of applied log entries after which the log is compacted.
+const COMPACT_AFTER_ENTRIES: usize = 256;
+/// Interval between hellos, and between readings of the machine list.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a founder looks for an existing group before it founds one.
+/// How long a balancer that may found a group looks for an existing one first.
 const FOUNDING_DELAY: Duration = Duration::from_secs(2);
-/// Longest that reading the machine list may take.
+/// Timeout for reading the machine list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Frames that may wait to be handled.
-const FRAME_QUEUE: usize = 1_024;
-/// Index and term of a group's first snapshot: ahead of a newcomer's, which
-/// therefore always takes it.
+/// Capacity of the queues of received frames and of local writes.
+const QUEUE_CAPACITY: usize = 1_024;
+/// Index and term of a new group's first snapshot. Higher than the 0 of a joining
+/// replica, which therefore always installs the snapshot.
 const FOUNDING_INDEX: u64 = 1;
 
-/// How a replica takes part.
+/// Settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// TCP address for other balancers.
+    /// TCP address on which to accept frames of other balancers.
     pub listen: SocketAddr,
     /// Zone of this balancer.
     pub zone: String,
-    /// TCP address of the platform, for the machine list.
+    /// TCP address of the platform, which serves the machine list.
     pub platform: SocketAddr,
-    /// Keys of frames. Without keys the control address must be loopback.
+    /// Keys that authenticate frames. Without keys, `listen` has to be a loopback
+    /// address.
     pub keys: ControlKeys,
-    /// Control addresses known beforehand.
+    /// Control addresses of balancers to contact besides those on the machine list.
     pub peers: Vec<SocketAddr>,
-    /// Whether this balancer founds a group if it finds none. Given to one
-    /// balancer of a deployment, once.
+    /// Whether this balancer founds a group if it finds none. To be set on one balancer
+    /// of a deployment, and only for its first start.
     pub founds: bool,
 }
 
-/// The task's state.
+/// The state of the replica's task.
 pub(crate) struct Driver {
     pub(crate) options: ControlOptions,
     pub(crate) log: Logger,
     pub(crate) id: ReplicaId,
     pub(crate) group: u64,
-    pub(crate) node: Option<Node<ConfigMachine>>,
+    pub(crate) node: Option<Node<ConfigStateMachine>>,
     pub(crate) peers: Peers,
-    pub(crate) listed: Vec<SocketAddr>,
-    pub(crate) own: Sender,
-    pub(crate) senders: Senders,
+    pub(crate) listed_addresses: Vec<SocketAddr>,
+    pub(crate) own_sender: FrameSender,
+    pub(crate) peer_connections: PeerConnections,
     pub(crate) frames_sent: u64,
-    pub(crate) replays: ReplayGuard,
+    pub(crate) replay_guard: ReplayGuard,
     pub(crate) started: Instant,
-    pub(crate) waiting: Vec<Waiting>,
-    pub(crate) own_writes: HashMap<u64, OwnWrite>,
+    pub(crate) pending_commits: Vec<PendingCommit>,
+    pub(crate) local_writes: HashMap<u64, LocalWrite>,
     pub(crate) next_ticket: u64,
-    pub(crate) base: watch::Receiver<Arc<ConfigDocument>>,
+    pub(crate) base_document: watch::Receiver<Arc<ConfigDocument>>,
     pub(crate) document: watch::Sender<Arc<ConfigDocument>>,
     pub(crate) status: Arc<Mutex<ControlStatus>>,
-    pub(crate) led: bool,
+    pub(crate) was_leader: bool,
 }
 
-/// Starts a replica. `base` follows the platform's document, from which a
-/// founder starts.
+/// Starts a replica. `base_document` receives the platform's document, from which a new
+/// group starts.
 ///
 /// # Errors
-/// When the address cannot be bound or the random source fails.
+/// When the control address is not loopback and there are no keys, when it cannot be
+/// bound, or when the system's random source fails.
 pub async fn start_control(
     options: ControlOptions,
-    base: watch::Receiver<Arc<ConfigDocument>>,
+    base_document: watch::Receiver<Arc<ConfigDocument>>,
     log: Logger,
 ) -> eyre::Result<ControlHandle> {
     if options.keys.0.is_empty() && !options.listen.ip().is_loopback() {
         let address = options.listen;
-        return Err(eyre::eyre!("bind control address {address}: needs control keys off loopback"));
+        return Err(eyre::eyre!(
+            "bind control address {address}: control keys are required off loopback"
+        ));
     }
     let listener = TcpListener::bind(options.listen)
         .await
         .wrap_err_with(|| format!("bind control address {}", options.listen))?;
     let address = listener.local_addr().wrap_err("read the control address")?;
-    let id = ReplicaId(random()?);
-    let (frames, new_frames) = mpsc::channel(FRAME_QUEUE);
+    let id = ReplicaId(random_u64()?);
+    let (frames, new_frames) = mpsc::channel(QUEUE_CAPACITY);
     tokio::spawn(accept_frames(listener, options.keys.clone(), frames, log.clone()));
-    let (writes, new_writes) = mpsc::channel(FRAME_QUEUE);
-    let (document, followed) = watch::channel(Arc::new(ConfigDocument::default()));
+    let (writes, new_writes) = mpsc::channel(QUEUE_CAPACITY);
+    let (document, agreed_document) = watch::channel(Arc::new(ConfigDocument::default()));
     let status = Arc::new(Mutex::new(ControlStatus::default()));
-    let own = Sender { id: id.0, zone: options.zone.clone(), control: address.into() };
+    let own_sender = FrameSender { id: id.0, zone: options.zone.clone(), control: address.into() };
     let keys = options.keys.clone();
     let driver = Driver {
         options,
@@ -115,25 +119,25 @@
         group: 0,
         node: None,
         peers: Peers::default(),
-        listed: Vec::new(),
-        own,
-        senders: Senders::new(keys),
+        listed_addresses: Vec::new(),
+        own_sender,
+        peer_connections: PeerConnections::new(keys),
         frames_sent: 0,
-        replays: ReplayGuard::default(),
+        replay_guard: ReplayGuard::default(),
         started: Instant::now(),
-        waiting: Vec::new(),
-        own_writes: HashMap::new(),
+        pending_commits: Vec::new(),
+        local_writes: HashMap::new(),
         next_ticket: 0,
-        base,
+        base_document,
         document,
         status: status.clone(),
-        led: false,
+        was_leader: false,
     };
     tokio::spawn(driver.run(new_frames, new_writes));
-    Ok(ControlHandle { address, writes, status, document: followed })
+    Ok(ControlHandle { address, writes, status, document: agreed_document })
 }
 
-fn random() -> eyre::Result<u64> {
+fn random_u64() -> eyre::Result<u64> {
     getrandom::u64().map_err(|error| eyre::eyre!("read the system's random source: {error}"))
 }
 
@@ -143,26 +147,26 @@
         mut frames: mpsc::Receiver<Frame>,
         mut writes: mpsc::Receiver<PendingWrite>,
     ) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (lists, mut new_lists) = mpsc::channel(1);
-        tokio::spawn(follow_machine_list(self.options.platform, lists));
+        tokio::spawn(poll_machine_list(self.options.platform, lists));
         let mut hello_due = Instant::now();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
                     if Instant::now() >= hello_due {
                         hello_due = Instant::now() + HELLO_INTERVAL;
-                        self.say_hello();
+                        self.send_hellos();
                     }
                     self.tick();
-                    self.route_own_writes();
+                    self.route_local_writes();
                 }
                 Some(frame) = frames.recv() => self.handle_frame(frame),
                 Some(write) = writes.recv() => self.handle_write(write),
-                Some(listed) = new_lists.recv() => self.listed = listed,
+                Some(addresses) = new_lists.recv() => self.listed_addresses = addresses,
             }
-            self.answer_writes();
+            self.answer_committed_writes();
             self.publish();
         }
     }
@@ -173,34 +177,35 @@
             version: CONTROL_VERSION,
             number: self.frames_sent,
             group: self.group,
-            sender: self.own.clone(),
+            sender: self.own_sender.clone(),
             body,
         }
     }
 
-    fn say_hello(&mut self) {
+    fn send_hellos(&mut self) {
         let frame = self.frame(FrameBody::Hello);
-        let mut addresses: BTreeSet<SocketAddr> = self.listed.iter().copied().collect();
+        let mut addresses: BTreeSet<SocketAddr> = self.listed_addresses.iter().copied().collect();
         addresses.extend(&self.options.peers);
-        addresses.remove(&self.own.address());
+        addresses.remove(&self.own_sender.address());
         for address in addresses {
-            self.senders.send(address, &frame);
+            self.peer_connections.send(address, &frame);
         }
         if self.node.is_none() && self.options.founds {
             self.found_group();
         }
     }
 
-    /// Founds a group of one, which then takes up the other balancers.
+    /// Founds a group with this replica as the only voter. The other balancers join it
+    /// later.
     fn found_group(&mut self) {
-        let base = self.base.borrow().clone();
+        let base_document = self.base_document.borrow().clone();
         let group = getrandom::u64().unwrap_or(0);
-        if self.started.elapsed() < FOUNDING_DELAY || base.revision == 0 || group == 0 {
+        if self.started.elapsed() < FOUNDING_DELAY || base_document.revision == 0 || group == 0 {
             return;
         }
-        info!(self.log, "control: Founded a group."; "revision" => base.revision);
+        info!(self.log, "control: Founded a new group."; "revision" => base_document.revision);
         self.group = group;
-        let machine = ConfigMachine::new((*base).clone());
+        let machine = ConfigStateMachine::new((*base_document).clone());
         self.start_node(Snapshot {
             index: FOUNDING_INDEX,
             term: FOUNDING_INDEX,
@@ -209,21 +214,21 @@
         });
     }
 
-    fn start_node(&mut self, snapshot: Snapshot<ConfigMachine>) {
+    fn start_node(&mut self, snapshot: Snapshot<ConfigStateMachine>) {
         let options = NodeOptions {
-            heartbeat_interval: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             election_timeout: ELECTION_TIMEOUT,
-            compact_after: COMPACT_AFTER,
+            compact_after: COMPACT_AFTER_ENTRIES,
             seed: self.id.0,
         };
         self.node = Some(Node::new(self.id, snapshot, options));
     }
 
-    /// Follows the group of another balancer as a learner.
+    /// Joins the group of another balancer as a learner.
     fn join_group(&mut self, group: u64) {
-        info!(self.log, "control: Joins a group.");
+        info!(self.log, "control: Joined a group as a learner.");
         self.group = group;
-        let machine = ConfigMachine::default();
+        let machine = ConfigStateMachine::default();
         self.start_node(Snapshot { index: 0, term: 0, voters: Vec::new(), machine });
     }
 
@@ -238,56 +243,56 @@
         };
         let mut outputs = node.tick(now);
         if node.role() == Role::Leader {
-            let living = self.peers.living(Instant::now());
-            for &id in &living {
+            let live = self.peers.live(Instant::now());
+            for &id in &live {
                 if node.voters().contains(&id) {
                     node.remove_learner(id);
                 } else {
                     node.add_learner(id);
                 }
             }
-            node.keep_learners(&living);
-            let wanted = self.peers.wanted_voters(node, &self.own.zone, Instant::now());
-            if let Some(wanted) = wanted
-                && let Ok((_, more)) = node.propose_voters(wanted)
+            node.keep_learners(&live);
+            let next_voters = self.peers.next_voters(node, &self.own_sender.zone, Instant::now());
+            if let Some(next_voters) = next_voters
+                && let Ok((_, more)) = node.propose_voters(next_voters)
             {
                 outputs.extend(more);
             }
         }
-        self.carry_out(outputs);
+        self.execute_outputs(outputs);
     }
 
-    pub(crate) fn carry_out(&mut self, outputs: Vec<Output<ConfigMachine>>) {
+    pub(crate) fn execute_outputs(&mut self, outputs: Vec<Output<ConfigStateMachine>>) {
         for output in outputs {
-            // Committed commands are published from the machine as a whole.
+            // Committed commands need no action: `publish` reads the whole state.
             if let Output::Send(envelope) = output
-                && let Some(address) = self.peers.address(envelope.to)
+                && let Some(address) = self.peers.control_address(envelope.to)
             {
                 let frame = self.frame(FrameBody::Replica(envelope));
-                self.senders.send(address, &frame);
+                self.peer_connections.send(address, &frame);
             }
         }
     }
 
     fn handle_frame(&mut self, frame: Frame) {
         let Frame { number, group, sender, body, .. } = frame;
-        if let Err(error) = self.replays.check(sender.id, number) {
-            return debug!(self.log, "control: Frame dropped."; "reason" => %error);
+        if let Err(error) = self.replay_guard.check(sender.id, number) {
+            return debug!(self.log, "control: Dropped a frame."; "reason" => %error);
         }
         let from = sender.address();
         if self.node.is_none() && group != 0 {
             self.join_group(group);
         }
         if group != self.group {
-            // A newcomer learns the group from this hello; a foreign group's
-            // frames are dropped.
+            // A balancer without a group learns of this one from the hello. Frames of
+            // other groups are dropped.
             if group == 0 && self.node.is_some() {
                 let hello = self.frame(FrameBody::Hello);
-                self.senders.send(from, &hello);
+                self.peer_connections.send(from, &hello);
             }
             return;
         }
-        self.peers.heard(&sender, Instant::now());
+        self.peers.note_seen(&sender, Instant::now());
         match body {
             FrameBody::Hello => {}
             FrameBody::Replica(envelope) => {
@@ -296,11 +301,11 @@
                     && let Some(node) = &mut self.node
                 {
                     let outputs = node.receive(envelope, now);
-                    self.carry_out(outputs);
+                    self.execute_outputs(outputs);
                 }
             }
             FrameBody::Write { ticket, command } => {
-                self.propose(command, Reply::Remote { to: from, ticket });
+                self.propose(command, ReplyTo::Remote { to: from, ticket });
             }
             FrameBody::WriteAnswer { ticket, answer } => self.handle_write_answer(ticket, answer),
         }
@@ -315,19 +320,23 @@
             self.document.send_replace(Arc::new(document.clone()));
         }
         let leads = node.role() == Role::Leader;
-        if leads != self.led {
-            self.led = leads;
-            let message = if leads { "control: Leads." } else { "control: Leads no more." };
+        if leads != self.was_leader {
+            self.was_leader = leads;
+            let message = if leads {
+                "control: Became the leader."
+            } else {
+                "control: Stopped being the leader."
+            };
             warn!(self.log, "{}", message; "term" => node.term());
         }
-        let status = status_of(node, self.group, &self.peers.living(Instant::now()));
+        let status = replica_status(node, self.group, &self.peers.live(Instant::now()));
         *self.status.lock().unwrap_or_else(PoisonError::into_inner) = status;
     }
 }
 
-/// Reads the platform's machine list again and again; keeps the last one while
-/// the platform is away.
-async fn follow_machine_list(platform: SocketAddr, lists: mpsc::Sender<Vec<SocketAddr>>) {
+/// Polls the platform's machine list. The last list stays in use while the platform is
+/// unavailable.
+async fn poll_machine_list(platform: SocketAddr, lists: mpsc::Sender<Vec<SocketAddr>>) {
     loop {
         if let Ok(Fetched::Body { bytes, .. }) =
             fetch(platform, MACHINES_PATH, None, LIST_TIMEOUT).await
--- a/crates/control/src/frame_auth.rs
+++ b/crates/control/src/frame_auth.rs
@@ -1,60 +1,63 @@
-//! Seals frames by a keyed hash, so that only holders of a key can send them,
-//! and each only once.
+//! Authenticates frames by a tag, a keyed BLAKE3 hash, so that only holders of a key
+//! can send frames, and rejects replayed frames.
 
 use std::collections::HashMap;
 
 use weirhinge_config::ControlKeys;
 
-/// Length of a seal, in bytes.
-pub(crate) const SEAL_BYTES: usize = 32;
+/// Length of an authentication tag, in bytes.
+pub(crate) const TAG_BYTES: usize = 32;
 
-/// Why a sealed frame is refused.
+/// Why a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum SealError {
-    /// No key of ours sealed the frame.
-    #[error("frame sealed with another key")]
+pub(crate) enum FrameAuthError {
+    /// The tag matches none of the configured keys, or is incomplete.
+    #[error("the frame's tag matches none of the control keys")]
     WrongKey,
-    /// A frame with this number or a later one has come from this sender.
-    #[error("frame replayed or overtaken")]
+    /// A frame with this number or a higher one was already received from this sender.
+    #[error("the frame is a replay or out of order")]
     Replayed,
 }
 
-/// Puts the seal before the frame's bytes.
-pub(crate) fn seal(keys: &ControlKeys, frame: &[u8]) -> Vec<u8> {
-    let mut sealed = match keys.0.first() {
+/// Returns the frame's bytes, preceded by a tag made with the first key. Without keys
+/// the tag is zero.
+pub(crate) fn sign(keys: &ControlKeys, frame: &[u8]) -> Vec<u8> {
+    let mut signed = match keys.0.first() {
         Some(key) => blake3::keyed_hash(key, frame).as_bytes().to_vec(),
-        None => vec![0; SEAL_BYTES],
+        None => vec![0; TAG_BYTES],
     };
-    sealed.extend_from_slice(frame);
-    sealed
+    signed.extend_from_slice(frame);
+    signed
 }
 
-/// Checks the seal and returns the frame's bytes. Without keys any seal does.
-pub(crate) fn open<'a>(keys: &ControlKeys, sealed: &'a [u8]) -> Result<&'a [u8], SealError> {
-    let (found, frame) = sealed.split_at_checked(SEAL_BYTES).ok_or(SealError::WrongKey)?;
-    // The comparison of hashes takes the same time wherever they differ.
-    let is_ours = |key: &[u8; 32]| {
-        let found = <[u8; SEAL_BYTES]>::try_from(found).map(blake3::Hash::from);
-        found.is_ok_and(|found| found == blake3::keyed_hash(key, frame))
+/// Verifies the tag and returns the frame's bytes. Accepts a tag made with any of the
+/// keys, so that keys can be rotated. Without keys any tag is accepted.
+pub(crate) fn verify<'a>(keys: &ControlKeys, signed: &'a [u8]) -> Result<&'a [u8], FrameAuthError> {
+    let (tag, frame) = signed.split_at_checked(TAG_BYTES).ok_or(FrameAuthError::WrongKey)?;
+    // Hashes are compared in constant time.
+    let matches = |key: &[u8; 32]| {
+        let tag = <[u8; TAG_BYTES]>::try_from(tag).map(blake3::Hash::from);
+        tag.is_ok_and(|tag| tag == blake3::keyed_hash(key, frame))
     };
-    if keys.0.is_empty() || keys.0.iter().any(is_ours) {
+    if keys.0.is_empty() || keys.0.iter().any(matches) {
         return Ok(frame);
     }
-    Err(SealError::WrongKey)
+    Err(FrameAuthError::WrongKey)
 }
 
-/// Remembers the highest number of each sender. An identity lives as long as a
-/// process and numbers its frames upwards, so that a lower number is a replay.
+/// Rejects replayed frames: keeps the highest frame number of each sender. A sender's
+/// identity is used by one process only, which numbers its frames in increasing
+/// order, so a frame whose number is not higher is a replay or was overtaken.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayGuard {
-    highest: HashMap<u64, u64>,
+    highest_numbers: HashMap<u64, u64>,
 }
 
 impl ReplayGuard {
-    pub(crate) fn check(&mut self, sender: u64, number: u64) -> Result<(), SealError> {
-        let highest = self.highest.entry(sender).or_insert(0);
+    pub(crate) fn check(&mut self, sender: u64, number: u64) -> Result<(), FrameAuthError> {
+        let highest = self.highest_numbers.entry(sender).or_insert(0);
         if number <= *highest {
-            return Err(SealError::Replayed);
+            return Err(FrameAuthError::Replayed);
         }
         *highest = number;
         Ok(())
--- a/crates/control/src/handle.rs
+++ b/crates/control/src/handle.rs
@@ -1,4 +1,4 @@
-//! Access to a running replica: writes, its status, and the agreed document.
+//! Access to a running replica: writes, its status and the agreed document.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,51 +8,52 @@
 use weirhinge_config::ConfigDocument;
 use weirhinge_consensus::{Node, ReplicaId, Role};
 
-use crate::state_machine::{ConfigCommand, ConfigMachine, Outcome};
+use crate::state_machine::{ConfigCommand, ConfigStateMachine, Outcome};
 
-/// Why a write has no outcome.
+/// Why the outcome of a write is not known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum WriteError {
-    /// No group or no leader is known; nothing was applied.
+    /// This replica knows no group or no leader. Nothing was applied.
     #[error("not applied: no leader is known here")]
     NoLeader,
-    /// The write was not confirmed in time; it may or may not hold.
+    /// The write was not confirmed within the timeout. It may or may not be applied.
     #[error("unknown: not confirmed in time; repeat it with the same key")]
     Unknown,
 }
 
-/// What a replica shows of itself.
+/// A replica's state, as the API reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ControlStatus {
-    /// The group; 0 if none.
+    /// The group's identity. 0 if the replica has not joined one.
     pub group: u64,
-    /// This replica.
+    /// This replica's identity.
     pub replica: u64,
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub leads: bool,
     /// The leader, if known.
     pub leader: Option<u64>,
-    /// The term.
+    /// The current Raft term.
     pub term: u64,
-    /// The voters by this replica's log.
+    /// The voters according to this replica's log.
     pub voters: Vec<u64>,
-    /// The revision in force here.
+    /// The revision of the configuration that this replica has applied.
     pub revision: u64,
-    /// On the leader: replicas that have all that is committed.
+    /// On the leader: live replicas that have all committed entries.
     pub caught_up: Vec<u64>,
-    /// On the leader: replicas that have not.
+    /// On the leader: live replicas that lack committed entries.
     pub behind: Vec<u64>,
 }
 
+/// A write on its way from the API to the replica's task.
 pub(crate) struct PendingWrite {
     pub(crate) command: ConfigCommand,
     pub(crate) answer: oneshot::Sender<Result<Outcome, WriteError>>,
 }
 
-/// Access to the running replica. Cheap to clone.
+/// A handle to the running replica. Cheap to clone.
 #[derive(Clone)]
 pub struct ControlHandle {
-    /// Address for other balancers.
+    /// The TCP address on which the replica accepts frames of other balancers.
     pub address: SocketAddr,
     pub(crate) writes: mpsc::Sender<PendingWrite>,
     pub(crate) status: Arc<Mutex<ControlStatus>>,
@@ -60,49 +61,52 @@
 }
 
 impl ControlHandle {
-    /// Writes a change and waits until it is committed.
+    /// Submits a write and waits until it is committed.
     ///
     /// # Errors
-    /// Whether nothing was applied or the fate is unknown.
+    /// When no leader is known ([`WriteError::NoLeader`], nothing was applied) or the
+    /// write was not confirmed in time ([`WriteError::Unknown`]).
     pub async fn write(&self, command: ConfigCommand) -> Result<Outcome, WriteError> {
         let (answer, answered) = oneshot::channel();
         let pending = PendingWrite { command, answer };
         self.writes.send(pending).await.map_err(|_| WriteError::NoLeader)?;
-        // The replica answers every write within its time-out.
+        // The replica answers every write within its timeout, so an answer is missing
+        // only if its task has ended.
         answered.await.unwrap_or(Err(WriteError::Unknown))
     }
 
-    /// The replica's status.
+    /// Returns the replica's current status.
     pub fn status(&self) -> ControlStatus {
         self.status.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Follows the agreed document; revision 0 until there is one.
+    /// Returns a receiver of the agreed document. Its revision is 0 until there is
+    /// one.
     pub fn document(&self) -> watch::Receiver<Arc<ConfigDocument>> {
         self.document.clone()
     }
 }
 
-/// A replica's status, with the replicas heard of lately.
-pub(crate) fn status_of(
-    node: &Node<ConfigMachine>,
+/// Returns a replica's status. `live` are the replicas that were seen recently.
+pub(crate) fn replica_status(
+    node: &Node<ConfigStateMachine>,
     group: u64,
-    living: &[ReplicaId],
+    live: &[ReplicaId],
 ) -> ControlStatus {
     let leads = node.role() == Role::Leader;
-    let others = living.iter().copied().filter(|&id| leads && id != node.id());
+    let others = live.iter().copied().filter(|&id| leads && id != node.id());
     let (caught_up, behind): (Vec<ReplicaId>, Vec<ReplicaId>) =
         others.partition(|&id| node.matched(id).is_some_and(|matched| matched >= node.commit()));
-    let numbers = |ids: &[ReplicaId]| ids.iter().map(|id| id.0).collect();
+    let raw_ids = |ids: &[ReplicaId]| ids.iter().map(|id| id.0).collect();
     ControlStatus {
         group,
         replica: node.id().0,
         leads,
         leader: node.leader().map(|leader| leader.0),
         term: node.term(),
-        voters: numbers(node.voters()),
+        voters: raw_ids(node.voters()),
         revision: node.machine().document().revision,
-        caught_up: numbers(&caught_up),
-        behind: numbers(&behind),
+        caught_up: raw_ids(&caught_up),
+        behind: raw_ids(&behind),
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The configuration that balancers agree on: the replicated document, the
+//! The replicated configuration that the balancers agree on: the state machine, the
 //! messages between balancers, and the task that runs one replica.
 
 pub mod driver;
@@ -12,4 +12,4 @@
 
 pub use driver::{ControlOptions, start_control};
 pub use handle::{ControlHandle, ControlStatus, WriteError};
-pub use state_machine::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
+pub use state_machine::{ConfigChange, ConfigCommand, ConfigStateMachine, Outcome};
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,4 +1,4 @@
-//! The replicas that a balancer knows, and the voters that a leader wants.
+//! The replicas that a balancer knows, and the voters that a leader proposes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,62 +8,64 @@
     MembershipChange, MembershipPlan, Node, ReplicaId, ReplicaStatus, plan_change,
 };
 
-use crate::frame::Sender;
-use crate::state_machine::ConfigMachine;
+use crate::frame::FrameSender;
+use crate::state_machine::ConfigStateMachine;
 
-/// Voters wanted; fewer while there are fewer balancers.
+/// The desired number of voters. There are fewer while there are fewer balancers.
 const PLAN: MembershipPlan = MembershipPlan { size: 5 };
-/// Silence after which a leader counts a voter as dead.
+/// Time without an answer after which the leader considers a voter dead.
 const DEAD_AFTER: Duration = Duration::from_millis(1_500);
-/// Silence after which a replica is no longer sent to.
-const FORGET_AFTER: Duration = Duration::from_secs(5);
+/// Time without a frame after which a replica is no longer considered live, and the
+/// leader stops replicating to it as a learner.
+const FORGET_PEER_AFTER: Duration = Duration::from_secs(5);
 
-/// One known replica.
+/// A known replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) control: SocketAddr,
     pub(crate) zone: String,
-    heard: Instant,
+    last_seen_at: Instant,
 }
 
-/// All known replicas by identity.
+/// All known replicas, by identity.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     peers: BTreeMap<ReplicaId, Peer>,
 }
 
 impl Peers {
-    pub(crate) fn heard(&mut self, sender: &Sender, now: Instant) {
-        let peer = Peer { control: sender.address(), zone: sender.zone.clone(), heard: now };
+    /// Records that a frame of this sender was received.
+    pub(crate) fn note_seen(&mut self, sender: &FrameSender, now: Instant) {
+        let peer = Peer { control: sender.address(), zone: sender.zone.clone(), last_seen_at: now };
         self.peers.insert(ReplicaId(sender.id), peer);
     }
 
-    pub(crate) fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
+    pub(crate) fn control_address(&self, id: ReplicaId) -> Option<SocketAddr> {
         self.peers.get(&id).map(|peer| peer.control)
     }
 
-    /// Replicas heard of lately.
-    pub(crate) fn living(&self, now: Instant) -> Vec<ReplicaId> {
+    /// Returns the replicas from which a frame was received recently.
+    pub(crate) fn live(&self, now: Instant) -> Vec<ReplicaId> {
         self.peers
             .iter()
-            .filter(|(_, peer)| now.duration_since(peer.heard) < FORGET_AFTER)
+            .filter(|(_, peer)| now.duration_since(peer.last_seen_at) < FORGET_PEER_AFTER)
             .map(|(&id, _)| id)
             .collect()
     }
 
-    /// The voters that the leader should propose next, if a change is due.
-    pub(crate) fn wanted_voters(
+    /// Returns the voters that the leader should propose next, if a change is due.
+    pub(crate) fn next_voters(
         &self,
-        node: &Node<ConfigMachine>,
+        node: &Node<ConfigStateMachine>,
         own_zone: &str,
         now: Instant,
     ) -> Option<Vec<ReplicaId>> {
-        let mut known = self.living(now);
+        let mut known = self.live(now);
         known.push(node.id());
         known.extend_from_slice(node.voters());
         known.sort_unstable();
         known.dedup();
-        let candidate = |id: ReplicaId| ReplicaStatus {
+        let status_of = |id: ReplicaId| ReplicaStatus {
             id,
             zone: match self.peers.get(&id) {
                 Some(peer) => peer.zone.clone(),
@@ -74,12 +76,12 @@
             caught_up: id == node.id()
                 || node.matched(id).is_some_and(|matched| matched >= node.commit()),
         };
-        let candidates: Vec<ReplicaStatus> = known.into_iter().map(candidate).collect();
-        let mut wanted = node.voters().to_vec();
-        match plan_change(&PLAN, node.id(), node.voters(), &candidates)? {
-            MembershipChange::Add(id) => wanted.push(id),
-            MembershipChange::Remove(id) => wanted.retain(|&voter| voter != id),
+        let replicas: Vec<ReplicaStatus> = known.into_iter().map(status_of).collect();
+        let mut next = node.voters().to_vec();
+        match plan_change(&PLAN, node.id(), node.voters(), &replicas)? {
+            MembershipChange::Add(id) => next.push(id),
+            MembershipChange::Remove(id) => next.retain(|&voter| voter != id),
         }
-        Some(wanted)
+        Some(next)
     }
 }
--- a/crates/control/src/network.rs
+++ b/crates/control/src/network.rs
@@ -1,4 +1,4 @@
-//! Frames over TCP: one connection per direction and peer.
+//! Transport of frames over TCP, with one connection per peer and direction.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,16 +13,17 @@
 use crate::frame::{CONTROL_VERSION, Frame};
 use crate::frame_auth;
 
-/// Largest frame accepted, in bytes: a snapshot of a large document.
-const MAXIMUM_FRAME: usize = 64 << 20;
-/// Frames that may wait for one peer; further ones are dropped.
+/// Maximum size of a frame, in bytes. Leaves enough for a snapshot of a large
+/// document.
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Maximum number of frames queued for one peer. Further frames are dropped.
 const PEER_QUEUE: usize = 256;
-/// Longest that a connection to a peer may take.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A sender without work for this long ends.
+/// Time without frames to send after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Accepts connections and hands every sound frame to `frames`.
+/// Accepts connections and passes every valid frame to `frames`.
 pub(crate) async fn accept_frames(
     listener: TcpListener,
     keys: ControlKeys,
@@ -38,7 +39,8 @@
         let log = log.clone();
         tokio::spawn(async move {
             if let Err(error) = read_frames(stream, &keys, &frames).await {
-                warn!(log, "control: Connection ended."; "peer" => %peer, "reason" => %error);
+                warn!(log, "control: Closed a connection after an error.";
+                    "peer" => %peer, "reason" => %error);
             }
         });
     }
@@ -52,18 +54,20 @@
     loop {
         let length = match stream.read_u32().await {
             Ok(length) => length as usize,
-            // The peer has closed an idle connection, or died.
+            // The peer closed the connection, or its process ended.
             Err(_) => return Ok(()),
         };
-        if length > MAXIMUM_FRAME {
-            return Err(std::io::Error::other(format!("frame of {length} bytes")));
+        if length > MAX_FRAME_BYTES {
+            return Err(std::io::Error::other(format!(
+                "frame of {length} bytes, expected at most {MAX_FRAME_BYTES}"
+            )));
         }
         let mut bytes = vec![0; length];
         stream.read_exact(&mut bytes).await?;
-        let bytes = frame_auth::open(keys, &bytes).map_err(std::io::Error::other)?;
+        let bytes = frame_auth::verify(keys, &bytes).map_err(std::io::Error::other)?;
         let frame: Frame = musli::storage::from_slice(bytes).map_err(std::io::Error::other)?;
         if frame.version != CONTROL_VERSION {
-            return Err(std::io::Error::other("another protocol version"));
+            return Err(std::io::Error::other("frame of another protocol version"));
         }
         if frames.send(frame).await.is_err() {
             return Ok(());
@@ -71,14 +75,14 @@
     }
 }
 
-/// Sends frames to any number of peers; a frame that cannot be sent is lost,
-/// as the protocol above expects.
-pub(crate) struct Senders {
+/// Outgoing connections to peers, opened on demand. A frame that cannot be sent is
+/// lost, which the consensus protocol tolerates.
+pub(crate) struct PeerConnections {
     keys: ControlKeys,
     queues: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>>,
 }
 
-impl Senders {
+impl PeerConnections {
     pub(crate) fn new(keys: ControlKeys) -> Self {
         Self { keys, queues: HashMap::new() }
     }
@@ -87,27 +91,28 @@
         let Ok(bytes) = musli::storage::to_vec(frame) else {
             return;
         };
-        let bytes = frame_auth::seal(&self.keys, &bytes);
-        let queue = self.queues.entry(to).or_insert_with(|| start_sender(to));
+        let bytes = frame_auth::sign(&self.keys, &bytes);
+        let queue = self.queues.entry(to).or_insert_with(|| start_connection(to));
         match queue.try_send(bytes) {
             Ok(()) | Err(mpsc::error::TrySendError::Full(_)) => {}
             Err(mpsc::error::TrySendError::Closed(bytes)) => {
-                let fresh = start_sender(to);
-                // A fresh queue has room.
-                let _ = fresh.try_send(bytes);
-                self.queues.insert(to, fresh);
+                let new_queue = start_connection(to);
+                // A new queue cannot be full.
+                let _ = new_queue.try_send(bytes);
+                self.queues.insert(to, new_queue);
             }
         }
     }
 }
 
-fn start_sender(to: SocketAddr) -> mpsc::Sender<Vec<u8>> {
+fn start_connection(to: SocketAddr) -> mpsc::Sender<Vec<u8>> {
     let (queue, frames) = mpsc::channel(PEER_QUEUE);
     tokio::spawn(send_frames(to, frames));
     queue
 }
 
-/// Sends until the connection fails or idles; ends then, and with it the queue.
+/// Sends queued frames until the connection fails or is idle for too long. Closes the
+/// queue when it returns.
 async fn send_frames(to: SocketAddr, mut frames: mpsc::Receiver<Vec<u8>>) {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await;
     let Ok(Ok(mut stream)) = connected else {
--- a/crates/control/src/writes.rs
+++ b/crates/control/src/writes.rs
@@ -1,5 +1,5 @@
-//! The writes of one replica: on their way to the leader, and waiting for their
-//! commit there.
+//! Pending writes of a replica: those of its own API, which it routes to the leader,
+//! and, on the leader, those that are not committed yet.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,94 +12,101 @@
 use crate::handle::{PendingWrite, WriteError};
 use crate::state_machine::{ConfigCommand, Outcome};
 
-/// Longest that a write may wait for its commit, over all leaders.
+/// Maximum time from a write's arrival to its commit, across changes of leader.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A write that waits for its commit at the leader.
-pub(crate) struct Waiting {
+/// A write that this replica proposed as leader and that is not committed yet.
+pub(crate) struct PendingCommit {
     index: u64,
     key: String,
-    since: Instant,
-    reply: Reply,
+    proposed_at: Instant,
+    reply: ReplyTo,
 }
 
-/// Whom the leader answers.
-pub(crate) enum Reply {
+/// Where to send the answer to a write.
+pub(crate) enum ReplyTo {
     Local { ticket: u64 },
     Remote { to: SocketAddr, ticket: u64 },
 }
 
-/// A write that came to this balancer's API, until it is answered. It goes to
-/// whoever leads; its key keeps it from running twice when leaders change.
-pub(crate) struct OwnWrite {
+/// A write received through this balancer's API and not answered yet. It is sent to
+/// each new leader; its idempotency key keeps it from being executed twice when the
+/// leader changes.
+pub(crate) struct LocalWrite {
     command: ConfigCommand,
     answer: oneshot::Sender<Result<Outcome, WriteError>>,
     sent_to: Option<ReplicaId>,
     was_sent: bool,
-    since: Instant,
+    received_at: Instant,
 }
 
 impl Driver {
     pub(crate) fn handle_write(&mut self, write: PendingWrite) {
         let PendingWrite { command, answer } = write;
         self.next_ticket += 1;
-        let own =
-            OwnWrite { command, answer, sent_to: None, was_sent: false, since: Instant::now() };
-        self.own_writes.insert(self.next_ticket, own);
-        self.route_own_writes();
+        let local_write = LocalWrite {
+            command,
+            answer,
+            sent_to: None,
+            was_sent: false,
+            received_at: Instant::now(),
+        };
+        self.local_writes.insert(self.next_ticket, local_write);
+        self.route_local_writes();
     }
 
-    /// Sends every own write to the leader of the moment, unless it is there,
-    /// and gives up on those that have waited too long.
-    pub(crate) fn route_own_writes(&mut self) {
+    /// Sends every local write to the current leader, unless it was already sent there,
+    /// and fails those that have timed out.
+    pub(crate) fn route_local_writes(&mut self) {
         let leader = self.node.as_ref().and_then(Node::leader);
-        let tickets: Vec<u64> = self.own_writes.keys().copied().collect();
+        let tickets: Vec<u64> = self.local_writes.keys().copied().collect();
         for ticket in tickets {
-            let Some(own) = self.own_writes.get_mut(&ticket) else {
+            let Some(local_write) = self.local_writes.get_mut(&ticket) else {
                 continue;
             };
-            if own.since.elapsed() >= WRITE_TIMEOUT {
-                // What was never sent has certainly not been applied.
-                let error = if own.was_sent { WriteError::Unknown } else { WriteError::NoLeader };
-                self.finish_own_write(ticket, Err(error));
+            if local_write.received_at.elapsed() >= WRITE_TIMEOUT {
+                // A write that was never sent cannot have been applied.
+                let error =
+                    if local_write.was_sent { WriteError::Unknown } else { WriteError::NoLeader };
+                self.finish_local_write(ticket, Err(error));
                 continue;
             }
-            let Some(leader) = leader.filter(|&leader| own.sent_to != Some(leader)) else {
+            let Some(leader) = leader.filter(|&leader| local_write.sent_to != Some(leader)) else {
                 continue;
             };
-            own.sent_to = Some(leader);
-            own.was_sent = true;
-            let command = own.command.clone();
+            local_write.sent_to = Some(leader);
+            local_write.was_sent = true;
+            let command = local_write.command.clone();
             if leader == self.id {
-                self.propose(command, Reply::Local { ticket });
-            } else if let Some(address) = self.peers.address(leader) {
+                self.propose(command, ReplyTo::Local { ticket });
+            } else if let Some(control_address) = self.peers.control_address(leader) {
                 let frame = self.frame(FrameBody::Write { ticket, command });
-                self.senders.send(address, &frame);
+                self.peer_connections.send(control_address, &frame);
             }
         }
     }
 
-    pub(crate) fn finish_own_write(&mut self, ticket: u64, result: Result<Outcome, WriteError>) {
-        if let Some(own) = self.own_writes.remove(&ticket) {
-            // The writer may have given up.
-            let _ = own.answer.send(result);
+    pub(crate) fn finish_local_write(&mut self, ticket: u64, result: Result<Outcome, WriteError>) {
+        if let Some(local_write) = self.local_writes.remove(&ticket) {
+            // The writer may have stopped waiting.
+            let _ = local_write.answer.send(result);
         }
     }
 
-    /// Takes in a leader's answer. One that led no more is asked no longer; the
-    /// write goes to the next leader.
+    /// Handles the answer of a leader to a local write. After an error, the write is
+    /// sent again to the leader that is current then.
     pub(crate) fn handle_write_answer(&mut self, ticket: u64, answer: Result<Outcome, WriteError>) {
         match answer {
-            Ok(outcome) => self.finish_own_write(ticket, Ok(outcome)),
+            Ok(outcome) => self.finish_local_write(ticket, Ok(outcome)),
             Err(_) => {
-                if let Some(own) = self.own_writes.get_mut(&ticket) {
-                    own.sent_to = None;
+                if let Some(local_write) = self.local_writes.get_mut(&ticket) {
+                    local_write.sent_to = None;
                 }
             }
         }
     }
 
-    pub(crate) fn propose(&mut self, command: ConfigCommand, reply: Reply) {
+    pub(crate) fn propose(&mut self, command: ConfigCommand, reply: ReplyTo) {
         let key = command.key.clone();
         let proposed = match &mut self.node {
             Some(node) => node.propose(command).ok(),
@@ -107,46 +114,51 @@
         };
         match proposed {
             Some((index, outputs)) => {
-                self.waiting.push(Waiting { index, key, since: Instant::now(), reply });
-                self.carry_out(outputs);
+                self.pending_commits.push(PendingCommit {
+                    index,
+                    key,
+                    proposed_at: Instant::now(),
+                    reply,
+                });
+                self.execute_outputs(outputs);
             }
             None => self.reply(reply, Err(WriteError::NoLeader)),
         }
     }
 
-    /// Answers writes whose key has an outcome in the committed state, and
-    /// gives up on those that have waited too long.
-    pub(crate) fn answer_writes(&mut self) {
+    /// Answers the proposed writes whose key has an outcome in the committed state, and
+    /// fails those that have timed out.
+    pub(crate) fn answer_committed_writes(&mut self) {
         let Some(node) = &self.node else {
             return;
         };
         let commit = node.commit();
         let mut answered = Vec::new();
-        let mut still_waiting = Vec::new();
-        for waiting in std::mem::take(&mut self.waiting) {
-            let outcome = node.machine().outcome(&waiting.key).cloned();
+        let mut still_pending = Vec::new();
+        for pending in std::mem::take(&mut self.pending_commits) {
+            let outcome = node.machine().outcome(&pending.key).cloned();
             match outcome {
-                Some(outcome) if waiting.index <= commit => {
-                    answered.push((waiting.reply, Ok(outcome)))
+                Some(outcome) if pending.index <= commit => {
+                    answered.push((pending.reply, Ok(outcome)))
                 }
-                _ if waiting.since.elapsed() >= WRITE_TIMEOUT => {
-                    answered.push((waiting.reply, Err(WriteError::Unknown)));
+                _ if pending.proposed_at.elapsed() >= WRITE_TIMEOUT => {
+                    answered.push((pending.reply, Err(WriteError::Unknown)));
                 }
-                _ => still_waiting.push(waiting),
+                _ => still_pending.push(pending),
             }
         }
-        self.waiting = still_waiting;
+        self.pending_commits = still_pending;
         for (reply, result) in answered {
             self.reply(reply, result);
         }
     }
 
-    pub(crate) fn reply(&mut self, reply: Reply, result: Result<Outcome, WriteError>) {
+    pub(crate) fn reply(&mut self, reply: ReplyTo, result: Result<Outcome, WriteError>) {
         match reply {
-            Reply::Local { ticket } => self.handle_write_answer(ticket, result),
-            Reply::Remote { to, ticket } => {
+            ReplyTo::Local { ticket } => self.handle_write_answer(ticket, result),
+            ReplyTo::Remote { to, ticket } => {
                 let frame = self.frame(FrameBody::WriteAnswer { ticket, answer: result });
-                self.senders.send(to, &frame);
+                self.peer_connections.send(to, &frame);
             }
         }
     }
--- a/crates/control/tests/frame_auth.rs
+++ b/crates/control/tests/frame_auth.rs
@@ -1,4 +1,5 @@
-//! Seals: wrong keys, changed frames and replays are refused; keys can change.
+//! Frame authentication: frames with a wrong key, modified frames and replays are
+//! rejected, and keys can be rotated.
 
 #[cfg(test)]
 use super::*;
@@ -9,27 +10,27 @@
 }
 
 #[test]
-fn a_frame_opens_with_its_own_key_alone() {
-    let sealed = seal(&keys(&[1]), b"frame");
-    assert_eq!(open(&keys(&[1]), &sealed), Ok(&b"frame"[..]));
-    assert_eq!(open(&keys(&[2]), &sealed), Err(SealError::WrongKey));
-    let unsealed = seal(&keys(&[]), b"frame");
-    assert_eq!(open(&keys(&[1]), &unsealed), Err(SealError::WrongKey));
-    assert_eq!(open(&keys(&[1]), b"short"), Err(SealError::WrongKey));
+fn frame_is_accepted_only_with_its_key() {
+    let signed = sign(&keys(&[1]), b"frame");
+    assert_eq!(verify(&keys(&[1]), &signed), Ok(&b"frame"[..]));
+    assert_eq!(verify(&keys(&[2]), &signed), Err(FrameAuthError::WrongKey));
+    let unsigned = sign(&keys(&[]), b"frame");
+    assert_eq!(verify(&keys(&[1]), &unsigned), Err(FrameAuthError::WrongKey));
+    assert_eq!(verify(&keys(&[1]), b"short"), Err(FrameAuthError::WrongKey));
 }
 
 #[test]
-fn every_changed_byte_is_noticed() {
-    let sealed = seal(&keys(&[1]), b"frame");
-    for position in 0..sealed.len() {
-        let mut changed = sealed.clone();
+fn modified_frame_is_rejected() {
+    let signed = sign(&keys(&[1]), b"frame");
+    for position in 0..signed.len() {
+        let mut changed = signed.clone();
         changed[position] ^= 1;
-        assert_eq!(open(&keys(&[1]), &changed), Err(SealError::WrongKey));
+        assert_eq!(verify(&keys(&[1]), &changed), Err(FrameAuthError::WrongKey));
     }
 }
 
 #[test]
-fn keys_change_without_a_gap() {
+fn frames_are_accepted_during_key_rotation() {
     let (old, both_old_first, both_new_first, new) =
         (keys(&[1]), keys(&[1, 2]), keys(&[2, 1]), keys(&[2]));
     for (sender, receiver) in [
@@ -40,35 +41,35 @@
         (&both_new_first, &new),
         (&new, &both_new_first),
     ] {
-        assert!(open(receiver, &seal(sender, b"frame")).is_ok());
+        assert!(verify(receiver, &sign(sender, b"frame")).is_ok());
     }
 }
 
 #[test]
-fn a_frame_counts_once() {
+fn replayed_frame_is_rejected() {
     let mut guard = ReplayGuard::default();
     assert_eq!(guard.check(7, 1), Ok(()));
-    assert_eq!(guard.check(7, 1), Err(SealError::Replayed));
+    assert_eq!(guard.check(7, 1), Err(FrameAuthError::Replayed));
     assert_eq!(guard.check(7, 5), Ok(()));
-    assert_eq!(guard.check(7, 4), Err(SealError::Replayed));
+    assert_eq!(guard.check(7, 4), Err(FrameAuthError::Replayed));
     assert_eq!(guard.check(8, 1), Ok(()));
 }
 
 proptest::proptest! {
     #[test]
-    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..400)) {
-        let _ = open(&keys(&[1]), &bytes);
-        if let Ok(frame) = open(&keys(&[]), &bytes) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(proptest::num::u8::ANY, 0..400)) {
+        let _ = verify(&keys(&[1]), &bytes);
+        if let Ok(frame) = verify(&keys(&[]), &bytes) {
             let _ = musli::storage::from_slice::<crate::frame::Frame>(frame);
         }
         let _ = musli::storage::from_slice::<crate::frame::Frame>(&bytes);
     }
 }
 
-/// What is encoded by way of `serde` inside `musli` comes back as it was.
+/// Guards against losses in the fields that `musli` encodes through `serde`.
 #[test]
-fn a_frame_survives_its_codec() {
-    use crate::frame::{CONTROL_VERSION, Frame, FrameBody, Sender};
+fn frame_is_unchanged_by_encoding_and_decoding() {
+    use crate::frame::{CONTROL_VERSION, Frame, FrameBody, FrameSender};
     use crate::state_machine::{ConfigChange, ConfigCommand};
 
     let command = ConfigCommand {
@@ -81,7 +82,7 @@
         version: CONTROL_VERSION,
         number: 3,
         group: 9,
-        sender: Sender { id: 5, zone: "austin".to_owned(), control: address.into() },
+        sender: FrameSender { id: 5, zone: "austin".to_owned(), control: address.into() },
         body: FrameBody::Write { ticket: 2, command: command.clone() },
     };
     let bytes = musli::storage::to_vec(&frame).expect("encoded");
--- a/crates/control/tests/state_machine.rs
+++ b/crates/control/tests/state_machine.rs
@@ -1,8 +1,8 @@
-//! Writes to the replicated configuration: preconditions, checks, and repeats.
+//! Writes to the replicated configuration: preconditions, validation and repeats.
 
 use weirhinge_config::{ConfigDocument, TargetId, TargetState};
 use weirhinge_consensus::StateMachine;
-use weirhinge_control::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
+use weirhinge_control::{ConfigChange, ConfigCommand, ConfigStateMachine, Outcome};
 
 const DOCUMENT: &str = r#"
 revision = 3
@@ -23,64 +23,71 @@
 "#;
 
 fn document() -> ConfigDocument {
-    ConfigDocument::from_toml("test", DOCUMENT).expect("sound")
+    ConfigDocument::from_toml("test", DOCUMENT).expect("valid document")
 }
 
-fn run(
-    machine: &mut ConfigMachine,
+fn apply_write(
+    machine: &mut ConfigStateMachine,
     key: &str,
     expected: Option<u64>,
     change: ConfigChange,
 ) -> Outcome {
     let command = ConfigCommand { key: key.to_owned(), expected, change };
     machine.apply(&command);
-    machine.outcome(key).cloned().expect("an outcome")
+    machine.outcome(key).cloned().expect("the write has an outcome")
 }
 
-fn drained() -> ConfigChange {
+fn drain_target() -> ConfigChange {
     let mut target = document().targets[0].clone();
     target.state = TargetState::Draining;
     ConfigChange::PutTarget(target)
 }
 
 #[test]
-fn an_accepted_write_raises_the_revision() {
-    let mut machine = ConfigMachine::new(document());
-    let outcome = run(&mut machine, "a", Some(3), drained());
+fn accepted_write_increments_revision() {
+    let mut machine = ConfigStateMachine::new(document());
+    let outcome = apply_write(&mut machine, "a", Some(3), drain_target());
     assert_eq!(outcome, Outcome::Accepted { revision: 4 });
     assert_eq!(machine.document().targets[0].state, TargetState::Draining);
 }
 
 #[test]
-fn of_two_writers_with_one_precondition_one_succeeds() {
-    let mut machine = ConfigMachine::new(document());
-    assert_eq!(run(&mut machine, "a", Some(3), drained()), Outcome::Accepted { revision: 4 });
-    let loser = run(&mut machine, "b", Some(3), ConfigChange::DeleteTarget(TargetId(1)));
-    assert_eq!(loser, Outcome::Conflict { revision: 4 });
+fn second_write_with_same_precondition_conflicts() {
+    let mut machine = ConfigStateMachine::new(document());
+    assert_eq!(
+        apply_write(&mut machine, "a", Some(3), drain_target()),
+        Outcome::Accepted { revision: 4 }
+    );
+    let second = apply_write(&mut machine, "b", Some(3), ConfigChange::DeleteTarget(TargetId(1)));
+    assert_eq!(second, Outcome::Conflict { revision: 4 });
     assert_eq!(machine.document().targets.len(), 1);
 }
 
 #[test]
-fn a_repeated_write_is_not_run_again() {
-    let mut machine = ConfigMachine::new(document());
-    let first = run(&mut machine, "a", None, drained());
-    run(&mut machine, "b", None, ConfigChange::DeleteTarget(TargetId(1)));
-    assert_eq!(run(&mut machine, "a", None, drained()), first);
+fn repeated_write_returns_first_outcome() {
+    let mut machine = ConfigStateMachine::new(document());
+    let first = apply_write(&mut machine, "a", None, drain_target());
+    apply_write(&mut machine, "b", None, ConfigChange::DeleteTarget(TargetId(1)));
+    assert_eq!(apply_write(&mut machine, "a", None, drain_target()), first);
     assert!(machine.document().targets.is_empty());
 }
 
 #[test]
-fn an_invalid_write_changes_nothing_and_names_the_field() {
-    let mut machine = ConfigMachine::new(document());
+fn invalid_write_is_rejected_and_names_the_field() {
+    let mut machine = ConfigStateMachine::new(document());
     let mut target = document().targets[0].clone();
     target.weight = 0;
-    let Outcome::Invalid { reason } = run(&mut machine, "a", None, ConfigChange::PutTarget(target))
+    let Outcome::Invalid { reason } =
+        apply_write(&mut machine, "a", None, ConfigChange::PutTarget(target))
     else {
-        panic!("refused");
+        panic!("expected the write to be rejected as invalid");
     };
     assert!(reason.contains("targets[0].weight"), "{reason}");
     assert_eq!(machine.document(), &document());
-    let orphaning = ConfigChange::DeleteService(weirhinge_config::ServiceId(1));
-    assert!(matches!(run(&mut machine, "b", None, orphaning), Outcome::Invalid { .. }));
+    let delete_service_in_use = ConfigChange::DeleteService(weirhinge_config::ServiceId(1));
+    assert!(matches!(
+        apply_write(&mut machine, "b", None, delete_service_in_use),
+        Outcome::Invalid { .. }
+    ));
     assert_eq!(machine.document(), &document());
 }
