--- a/crates/agent/src/flow_log.rs
+++ b/crates/agent/src/flow_log.rs
@@ -1,6 +1,6 @@
-//! Debug lines of the decisions about flows, so that a flow's way through the
-//! agents can be followed afterwards. Packets of open flows leave no line, and
-//! no packet is read for a line that is not written.
+//! Debug log lines about decisions, by which a flow's path through the agents can be traced
+//! afterwards. Packets of open flows are not logged. Packets are decoded only if debug lines are
+//! written.
 
 use std::fmt;
 
@@ -10,68 +10,69 @@
 use weirhinge_stack::SpliceEnd;
 use weirhinge_wire::{AgentMessage, HolderAnswer, HolderQuery};
 
-use crate::dispatch::Dispatch;
+use crate::dispatch::Decision;
 
-/// Whether the lines are written at all.
-pub(crate) fn is_on(log: &Logger) -> bool {
+/// Whether debug lines are written.
+pub(crate) fn is_enabled(log: &Logger) -> bool {
     log.is_debug_enabled()
 }
 
-/// Writes that a packet was handed to a flow that is not open yet.
-pub(crate) fn delivered_half_open(log: &Logger, key: &FlowKey, packet: &[u8]) {
+/// Logs that a packet was delivered to a half-open flow.
+pub(crate) fn log_half_open_delivery(log: &Logger, key: &FlowKey, packet: &[u8]) {
     if let Ok(view) = decode_packet(packet) {
-        debug!(log, "agent: Packet for a half-open flow."; "flow" => %key,
+        debug!(log, "agent: Packet delivered to a half-open flow."; "flow" => %key,
             "packet" => %Flags(&view));
     }
 }
 
-/// Writes the line of one message and what was decided about it.
-pub(crate) fn decided(log: &Logger, message: &AgentMessage<'_>, dispatch: &Dispatch) {
-    if matches!(dispatch, Dispatch::Deliver(_)) || !is_on(log) {
+/// Logs a message and the decision about it.
+pub(crate) fn log_decision(log: &Logger, message: &AgentMessage<'_>, decision: &Decision) {
+    if matches!(decision, Decision::Deliver(_)) || !is_enabled(log) {
         return;
     }
     match message {
         AgentMessage::Packet(envelope) => {
-            // The dispatcher names the reason of a packet that cannot be decoded.
+            // The dispatcher counts a packet that cannot be decoded, with the reason.
             let Ok(view) = decode_packet(envelope.packet) else {
                 return;
             };
-            debug!(log, "agent: Packet decided."; "flow" => %view.key,
+            debug!(log, "agent: Packet dispatched."; "flow" => %view.key,
                 "packet" => %Flags(&view), "delivery" => ?envelope.delivery,
-                "hops" => envelope.hops, "outcome" => %Outcome(dispatch));
+                "hops" => envelope.hops, "outcome" => %Outcome(decision));
         }
         AgentMessage::HolderQuery(HolderQuery { flow, from, .. }) => {
-            debug!(log, "agent: Holder asked for."; "flow" => %FlowKey::from(*flow),
-                "from" => from, "outcome" => %Outcome(dispatch));
+            debug!(log, "agent: Holder query received."; "flow" => %FlowKey::from(*flow),
+                "from" => from, "outcome" => %Outcome(decision));
         }
         AgentMessage::HolderAnswer(HolderAnswer { flow, from, holding, .. }) => {
-            debug!(log, "agent: Holder answered."; "flow" => %FlowKey::from(*flow),
-                "from" => from, "holding" => ?holding, "outcome" => %Outcome(dispatch));
+            debug!(log, "agent: Holder answer received."; "flow" => %FlowKey::from(*flow),
+                "from" => from, "holding" => ?holding, "outcome" => %Outcome(decision));
         }
     }
 }
 
-/// Writes that a flow's handshake is complete.
-pub(crate) fn opened(log: &Logger, key: &FlowKey) {
+/// Logs that a flow's handshake is complete.
+pub(crate) fn log_opened(log: &Logger, key: &FlowKey) {
     debug!(log, "agent: Flow is open."; "flow" => %key);
 }
 
-/// Writes that the back end took no connection for a flow.
-pub(crate) fn not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
-    debug!(log, "agent: Flow found no back end."; "flow" => %key, "reason" => reason.name());
+/// Logs that the back end accepted no connection for a flow.
+pub(crate) fn log_not_opened(log: &Logger, key: &FlowKey, reason: RefusalReason) {
+    debug!(log, "agent: Flow could not be connected to the back end.";
+        "flow" => %key, "reason" => reason.name());
 }
 
-/// Writes that a flow has ended.
-pub(crate) fn ended(log: &Logger, key: &FlowKey, end: SpliceEnd) {
+/// Logs that a flow has ended.
+pub(crate) fn log_ended(log: &Logger, key: &FlowKey, end: SpliceEnd) {
     debug!(log, "agent: Flow ended."; "flow" => %key, "end" => ?end);
 }
 
-/// Writes that a packet found no room in its flow's queue.
-pub(crate) fn not_delivered(log: &Logger, key: &FlowKey) {
-    debug!(log, "agent: Packet not delivered."; "flow" => %key);
+/// Logs that a packet was dropped because its flow's queue was full or closed.
+pub(crate) fn log_undelivered(log: &Logger, key: &FlowKey) {
+    debug!(log, "agent: Packet not delivered: the flow's queue is full or closed."; "flow" => %key);
 }
 
-/// What a packet says, in a few letters.
+/// A packet's TCP flags, sequence numbers and payload length, or `udp`.
 struct Flags<'a>(&'a PacketView<'a>);
 
 impl fmt::Display for Flags<'_> {
@@ -96,35 +97,38 @@
     }
 }
 
-/// A decision without the packets that it carries.
-struct Outcome<'a>(&'a Dispatch);
+/// Formats a decision without its packets.
+struct Outcome<'a>(&'a Decision);
 
 impl fmt::Display for Outcome<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Dispatch::Deliver(_) => formatter.write_str("delivered"),
-            Dispatch::Open { announce, .. } => {
+            Decision::Deliver(_) => formatter.write_str("delivered"),
+            Decision::Open { announce, .. } => {
                 write!(formatter, "admitted, claimed with {} agents", announce.len())
             }
-            Dispatch::PassOn(ways) => {
-                let targets: Vec<_> = ways.iter().map(|way| (way.target.0, way.delivery)).collect();
+            Decision::PassOn(next_hops) => {
+                let targets: Vec<_> = next_hops
+                    .iter()
+                    .map(|next_hop| (next_hop.target.0, next_hop.delivery))
+                    .collect();
                 write!(formatter, "passed on to {targets:?}")
             }
-            Dispatch::Several(all) => {
-                for dispatch in all {
-                    write!(formatter, "{}; ", Outcome(dispatch))?;
+            Decision::Multiple(all) => {
+                for decision in all {
+                    write!(formatter, "{}; ", Outcome(decision))?;
                 }
                 Ok(())
             }
-            Dispatch::Abandon(_) => formatter.write_str("given up"),
-            Dispatch::Ask { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
-            Dispatch::Answer { answer, .. } => write!(formatter, "answered {:?}", answer.holding),
-            Dispatch::Reset { reason, .. } => write!(formatter, "reset: {reason}"),
-            Dispatch::Learned => formatter.write_str("noted"),
-            Dispatch::Release { packets, pass_on } => {
-                write!(formatter, "{} packets released to {}", packets.len(), pass_on.target.0)
+            Decision::Abandon(_) => formatter.write_str("given up"),
+            Decision::Query { agents, .. } => write!(formatter, "{} agents asked", agents.len()),
+            Decision::Answer { answer, .. } => write!(formatter, "answered {:?}", answer.holding),
+            Decision::Reset { reason, .. } => write!(formatter, "reset: {reason}"),
+            Decision::Recorded => formatter.write_str("noted"),
+            Decision::ForwardBuffered { packets, next_hop } => {
+                write!(formatter, "{} packets released to {}", packets.len(), next_hop.target.0)
             }
-            Dispatch::Drop(reason) => write!(formatter, "dropped: {reason}"),
+            Decision::Drop(reason) => write!(formatter, "dropped: {reason}"),
         }
     }
 }
