--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use weirhinge_config::{AgentSettings, ConfigDocument, HashKey, Keys};
-use weirhinge_document_source::{ConfigFollower, ConfigFreshness, FollowerLog, Following};
+use weirhinge_document_source::{ConfigFollower, ConfigFreshness, FollowerLog, PolledSources};
 use weirhinge_observe::{BoundAddresses, Health, HealthSource, Metrics, start_admin};
 use weirhinge_routing::HolderHint;
 use weirhinge_wire::decode;
@@ -120,10 +120,10 @@
     let (documents, new_documents) = mpsc::unbounded_channel();
     let follower = ConfigFollower {
         platform: settings.common.platform,
-        following: Following::Balancers,
+        sources: PolledSources::Balancers,
         freshness,
         errors: metrics.platform_errors.clone(),
-        log: FollowerLog { log: log.clone(), part: "agent" },
+        log: FollowerLog { log: log.clone(), prefix: "agent" },
     };
     let target = settings.target;
     let follow = follower.run(move |document| {
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{oneshot, watch};
 use weirhinge_config::{BalancerSettings, ConfigDocument, Keys};
 use weirhinge_control::{ControlOptions, start_control};
-use weirhinge_document_source::{ConfigFollower, ConfigFreshness, FollowerLog, Following};
+use weirhinge_document_source::{ConfigFollower, ConfigFreshness, FollowerLog, PolledSources};
 use weirhinge_observe::{BoundAddresses, Health, HealthSource, Metrics, start_admin};
 use weirhinge_routing::RoutingTable;
 
@@ -87,7 +87,7 @@
         platform: settings.common.platform,
         keys: control_keys,
         peers: settings.peers.clone(),
-        founds: settings.found_group,
+        may_found_group: settings.found_group,
     };
     let control = start_control(control_options, platform_documents.clone(), log.clone()).await?;
     let api = start_api(settings.api, control.clone(), &log)?;
@@ -102,10 +102,10 @@
 
     let follower = ConfigFollower {
         platform: settings.common.platform,
-        following: Following::Platform,
+        sources: PolledSources::Platform,
         freshness,
         errors: metrics.platform_errors.clone(),
-        log: FollowerLog { log: log.clone(), part: "balancer" },
+        log: FollowerLog { log: log.clone(), prefix: "balancer" },
     };
     let follow = follower.run(move |document| {
         platform_document.send_replace(document);
--- a/crates/control/src/driver.rs
+++ b/crates/control/src/driver.rs
@@ -57,7 +57,7 @@
     pub peers: Vec<SocketAddr>,
     /// Whether this balancer founds a group if it finds none. To be set on one balancer
     /// of a deployment, and only for its first start.
-    pub founds: bool,
+    pub may_found_group: bool,
 }
 
 /// The state of the replica's task.
@@ -190,7 +190,7 @@
         for address in addresses {
             self.peer_connections.send(address, &frame);
         }
-        if self.node.is_none() && self.options.founds {
+        if self.node.is_none() && self.options.may_found_group {
             self.found_group();
         }
     }
--- a/crates/document-source/src/client.rs
+++ b/crates/document-source/src/client.rs
@@ -67,7 +67,7 @@
 
 /// A complete HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The status code.
     pub status: StatusCode,
     /// The entity tag, if the peer sent one.
@@ -112,7 +112,7 @@
     request: http::request::Builder,
     body: Bytes,
     timeout: Duration,
-) -> Result<Answer, FetchError> {
+) -> Result<HttpResponse, FetchError> {
     let path = request.uri_ref().map_or("", |uri| uri.path()).to_owned();
     tokio::time::timeout(timeout, send_without_timeout(peer, &path, request, body))
         .await
@@ -124,7 +124,7 @@
     path: &str,
     request: http::request::Builder,
     body: Bytes,
-) -> Result<Answer, FetchError> {
+) -> Result<HttpResponse, FetchError> {
     let step_error = |step: &'static str, reason: String| FetchError::Step {
         step,
         peer,
@@ -154,5 +154,5 @@
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
     connection_task.abort();
     let body = body.map_err(|error| step_error("read", error.to_string()))?.to_bytes();
-    Ok(Answer { status, entity_tag, body })
+    Ok(HttpResponse { status, entity_tag, body })
 }
--- a/crates/document-source/src/follower.rs
+++ b/crates/document-source/src/follower.rs
@@ -10,7 +10,7 @@
 use weirhinge_config::ConfigDocument;
 use weirhinge_observe::ReasonCounters;
 
-use crate::watch::{Following, WatchEvent, WatchOutcome, run_watch};
+use crate::watch::{PolledSources, WatchEvent, WatchOutcome, run_watch};
 
 /// When a source last confirmed that the configuration in effect is the newest.
 #[derive(Debug)]
@@ -47,7 +47,7 @@
     /// The daemon's logger.
     pub log: Logger,
     /// Prefix of every message, such as "agent".
-    pub part: &'static str,
+    pub prefix: &'static str,
 }
 
 /// Polls for new configuration documents on behalf of one daemon.
@@ -56,7 +56,7 @@
     /// The platform's address.
     pub platform: SocketAddr,
     /// The sources to poll.
-    pub following: Following,
+    pub sources: PolledSources,
     /// Updated whenever a source confirms the configuration.
     pub freshness: Arc<ConfigFreshness>,
     /// Counts polls that failed or returned an unusable document, by reason.
@@ -69,7 +69,7 @@
     /// Polls until dropped. Calls `apply` with each newer valid document.
     pub async fn run(self, mut apply: impl FnMut(Arc<ConfigDocument>)) {
         let mut was_failing = false;
-        run_watch(self.platform, self.following, |event| {
+        run_watch(self.platform, self.sources, |event| {
             let failing = self.handle_event(event, was_failing, &mut apply);
             was_failing = failing;
         })
@@ -84,14 +84,15 @@
         was_failing: bool,
         apply: &mut impl FnMut(Arc<ConfigDocument>),
     ) -> bool {
-        let FollowerLog { log, part } = &self.log;
+        let FollowerLog { log, prefix } = &self.log;
         match event {
             WatchEvent::Unchanged | WatchEvent::Served(WatchOutcome::Current) => {
                 self.freshness.confirm();
                 false
             }
             WatchEvent::Served(WatchOutcome::Apply(document)) => {
-                info!(log, "{}: Received a new configuration.", part; "revision" => document.revision);
+                info!(log, "{}: Received a new configuration.", prefix;
+                    "revision" => document.revision);
                 self.freshness.confirm();
                 apply(document);
                 false
@@ -99,7 +100,7 @@
             WatchEvent::Served(WatchOutcome::Stale { served, in_effect }) => {
                 self.errors.increment("stale");
                 if !was_failing {
-                    warn!(log, "{}: Ignored a configuration older than the one in effect.", part;
+                    warn!(log, "{}: Ignored a configuration older than the one in effect.", prefix;
                         "served" => served, "in_force" => in_effect);
                 }
                 true
@@ -107,7 +108,7 @@
             WatchEvent::Served(WatchOutcome::Invalid(error)) => {
                 self.errors.increment("invalid");
                 if !was_failing {
-                    warn!(log, "{}: Ignored an invalid configuration.", part;
+                    warn!(log, "{}: Ignored an invalid configuration.", prefix;
                         "error" => %error);
                 }
                 true
@@ -115,7 +116,7 @@
             WatchEvent::Failed(error) => {
                 self.errors.increment("unreachable");
                 if !was_failing {
-                    warn!(log, "{}: Could not fetch the configuration.", part; "error" => %error);
+                    warn!(log, "{}: Could not fetch the configuration.", prefix; "error" => %error);
                 }
                 true
             }
--- a/crates/document-source/src/lib.rs
+++ b/crates/document-source/src/lib.rs
@@ -9,9 +9,9 @@
 mod follower;
 mod watch;
 
-pub use client::{Answer, FetchError, Fetched, fetch, send};
+pub use client::{FetchError, Fetched, HttpResponse, fetch, send};
 pub use follower::{ConfigFollower, ConfigFreshness, FollowerLog};
-pub use watch::{ConfigWatch, Following, SourceKind, WatchEvent, WatchOutcome, run_watch};
+pub use watch::{ConfigWatch, PolledSources, SourceKind, WatchEvent, WatchOutcome, run_watch};
 
 /// HTTP path of the configuration document, on the platform and the balancers.
 pub const CONFIGURATION_PATH: &str = "/v1/configuration";
--- a/crates/document-source/src/watch.rs
+++ b/crates/document-source/src/watch.rs
@@ -103,7 +103,7 @@
 
 /// The sources that a daemon polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Following {
+pub enum PolledSources {
     /// Only the platform. Used by balancers, which receive the agreed document through
     /// consensus.
     Platform,
@@ -115,7 +115,7 @@
 /// Polls the sources and keeps the state of the polling.
 struct Poller {
     platform: SocketAddr,
-    following: Following,
+    sources: PolledSources,
     watch: ConfigWatch,
     platform_tag: Option<String>,
     balancer_tag: Option<String>,
@@ -127,12 +127,12 @@
 /// Polls until dropped, and passes the result of each poll to `report`.
 pub async fn run_watch(
     platform: SocketAddr,
-    following: Following,
+    sources: PolledSources,
     mut report: impl FnMut(WatchEvent),
 ) {
     let mut poller = Poller {
         platform,
-        following,
+        sources,
         watch: ConfigWatch::default(),
         platform_tag: None,
         balancer_tag: None,
@@ -145,7 +145,7 @@
     let mut poll_count: u32 = 0;
     loop {
         ticks.tick().await;
-        if following == Following::Balancers && poll_count.is_multiple_of(POLLS_PER_LIST_READ) {
+        if sources == PolledSources::Balancers && poll_count.is_multiple_of(POLLS_PER_LIST_READ) {
             poller.read_machine_list().await;
         }
         poll_count = poll_count.wrapping_add(1);
@@ -168,7 +168,7 @@
 
     async fn poll(&mut self) -> Vec<WatchEvent> {
         let mut events = Vec::new();
-        if self.following == Following::Balancers && !self.balancers.is_empty() {
+        if self.sources == PolledSources::Balancers && !self.balancers.is_empty() {
             events.extend(self.poll_balancer().await);
         }
         if !self.watch.has_seen_agreed_document() {
--- a/crates/rehearsal/tests/agreement.rs
+++ b/crates/rehearsal/tests/agreement.rs
@@ -7,7 +7,7 @@
 
 use http::{Method, Request, StatusCode};
 use serde_json::Value;
-use weirhinge_document_source::{Answer, Fetched, fetch, send};
+use weirhinge_document_source::{Fetched, HttpResponse, fetch, send};
 use weirhinge_rehearsal::fleet::{Fleet, FleetOptions};
 use weirhinge_rehearsal::history::History;
 use weirhinge_rehearsal::scenario::Scenario;
@@ -113,7 +113,7 @@
         weight: u32,
         key: &str,
         expected: Option<u64>,
-    ) -> Option<Answer> {
+    ) -> Option<HttpResponse> {
         let mut target = self.fleet.desired().targets[0].clone();
         target.weight = weight;
         let body = serde_json::to_vec(&target).expect("JSON");
@@ -190,7 +190,7 @@
     }
 }
 
-fn revision_of(answer: &Answer) -> u64 {
+fn revision_of(answer: &HttpResponse) -> u64 {
     let body: Value = serde_json::from_slice(&answer.body).expect("JSON");
     body["revision"].as_u64().expect("a revision")
 }
--- a/crates/weirhinge/src/cli/client.rs
+++ b/crates/weirhinge/src/cli/client.rs
@@ -9,7 +9,7 @@
 use http::{Request, StatusCode};
 use pico_args::Arguments;
 use weirhinge_config::{ConfigDocument, Target, TargetState, parse};
-use weirhinge_document_source::{Answer, CONFIGURATION_PATH, send};
+use weirhinge_document_source::{CONFIGURATION_PATH, HttpResponse, send};
 
 use super::CliFailure;
 use super::daemon::{option, refuse_rest};
@@ -141,7 +141,7 @@
     }
 
     async fn exchange(&self, request: Builder, body: Vec<u8>) -> Result<String, CliFailure> {
-        let Answer { status, body, .. } = send(self.api, request, body.into(), TIMEOUT)
+        let HttpResponse { status, body, .. } = send(self.api, request, body.into(), TIMEOUT)
             .await
             .map_err(|error| CliFailure::Runtime(error.into()))?;
         let text = String::from_utf8_lossy(&body).into_owned();
