--- a/crates/document-source/src/client.rs
+++ b/crates/document-source/src/client.rs
@@ -135,7 +135,7 @@
         TcpStream::connect(peer).await.map_err(|error| step_error("connect", error.to_string()))?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|error| step_error("HTTP handshake", error.to_string()))?;
+        .map_err(|error| step_error("open", error.to_string()))?;
     let connection_task = tokio::spawn(connection);
     let request = request
         .header(header::HOST, peer.to_string())
