--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,15 +1,15 @@
-//! The configuration that balancers agree on: the replicated document, the
+//! The replicated configuration that the balancers agree on: the state machine, the
 //! messages between balancers, and the task that runs one replica.
 
 pub mod driver;
 mod frame;
+mod frame_auth;
 mod handle;
-pub mod machine;
 mod membership;
 mod network;
-mod seal;
+pub mod state_machine;
 mod writes;
 
 pub use driver::{ControlOptions, start_control};
 pub use handle::{ControlHandle, ControlStatus, WriteError};
-pub use machine::{ConfigChange, ConfigCommand, ConfigMachine, Outcome};
+pub use state_machine::{ConfigChange, ConfigCommand, ConfigStateMachine, Outcome};
