--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Brings faults about and mends them.
+//! Injects faults into the deployment and clears them.
 
 use std::time::Duration;
 
@@ -7,57 +7,60 @@
     Contents, Fleet, Impairment, LinkFault, NEAR_ZONE, ProcessHandle, StoreFault, TargetBehaviour,
 };
 
-use crate::callers::{FIRST_PORT, SECOND_PORT};
+use crate::client_tasks::{FIRST_PORT, SECOND_PORT};
 use crate::plan::{Fault, LinkTrouble, StoreTrouble};
 
-/// Services of the two routes.
+/// Services of the two routes, in the order of their ports.
 pub(crate) const SERVICES: [&str; 2] = ["dispatch", "sheets"];
-/// Wait of a slow store's callers.
-const SLOW: Duration = Duration::from_millis(250);
-/// Time that a request takes at a slow target.
-const SLOW_WORK: Duration = Duration::from_millis(400);
-/// What a store answers that turns calls away.
-const BUSY: u16 = 503;
-const LOSSY: Impairment =
+/// Delay of responses from a slow store, and of data on a delayed store link.
+const STORE_DELAY: Duration = Duration::from_millis(250);
+/// Service time of a request at a slow target.
+const SLOW_SERVICE_TIME: Duration = Duration::from_millis(400);
+/// HTTP status of an overloaded store.
+const OVERLOADED_STATUS: u16 = 503;
+const LOSSY_IMPAIRMENT: Impairment =
     Impairment { loss: 0.05, duplicates: 0.05, jitter: Duration::from_millis(20) };
 
-/// Writes the next configuration: the same routes under a new version.
+/// Writes the next configuration, which has the same routes and a new version.
 pub(crate) fn configure(fleet: &mut Fleet) {
     let [first, second] = SERVICES;
     fleet.configure(&[(FIRST_PORT, &[(first, 1)]), (SECOND_PORT, &[(second, 1)])]);
 }
 
-/// Begins a fault.
-pub(crate) async fn begin(fleet: &mut Fleet, fault: Fault) -> eyre::Result<()> {
+/// Injects a fault.
+///
+/// # Errors
+/// When a process cannot be signalled, killed or restarted.
+pub(crate) async fn inject(fleet: &mut Fleet, fault: Fault) -> eyre::Result<()> {
     match fault {
-        Fault::StopBalancer(place) => {
-            fleet.balancers[place].signal(Signal::SIGTERM)?;
-            fleet.balancers[place].ended().await?;
-            fleet.balancers[place].restart()
+        Fault::StopBalancer(index) => {
+            fleet.balancers[index].signal(Signal::SIGTERM)?;
+            fleet.balancers[index].ended().await?;
+            fleet.balancers[index].restart()
         }
-        Fault::DrainTarget(place) => {
-            fleet.targets[place].drain();
+        Fault::DrainTarget(index) => {
+            fleet.targets[index].drain();
             Ok(())
         }
         Fault::EvacuateZone => {
             fleet.evacuate(NEAR_ZONE);
             Ok(())
         }
-        Fault::Reload(place) => fleet.balancers[place].signal(Signal::SIGHUP),
+        Fault::Reload(index) => fleet.balancers[index].signal(Signal::SIGHUP),
         Fault::Configure => {
             configure(fleet);
             Ok(())
         }
-        Fault::KillBalancer(place) => fleet.balancers[place].kill(),
-        Fault::PauseBalancer(place) => fleet.balancers[place].signal(Signal::SIGSTOP),
-        Fault::KillAgent(place) => fleet.agents[place].kill(),
-        Fault::PauseAgent(place) => fleet.agents[place].signal(Signal::SIGSTOP),
-        Fault::CrashTarget(place) => {
-            fleet.targets[place].crash();
+        Fault::KillBalancer(index) => fleet.balancers[index].kill(),
+        Fault::PauseBalancer(index) => fleet.balancers[index].signal(Signal::SIGSTOP),
+        Fault::KillAgent(index) => fleet.agents[index].kill(),
+        Fault::PauseAgent(index) => fleet.agents[index].signal(Signal::SIGSTOP),
+        Fault::CrashTarget(index) => {
+            fleet.targets[index].crash();
             Ok(())
         }
-        Fault::RestartTarget(place) => {
-            fleet.targets[place].restart();
+        Fault::RestartTarget(index) => {
+            fleet.targets[index].restart();
             Ok(())
         }
         Fault::ForeignEntries => {
@@ -72,26 +75,29 @@
             fail_store(fleet, trouble);
             Ok(())
         }
-        Fault::StoreLink(place, trouble) => {
-            fleet.store_links[place].fail(link_fault(trouble));
+        Fault::StoreLink(index, trouble) => {
+            fleet.store_links[index].fail(link_fault(trouble));
             Ok(())
         }
         Fault::LossyClients => {
-            fleet.client.impair(LOSSY);
+            fleet.client.impair(LOSSY_IMPAIRMENT);
             Ok(())
         }
-        Fault::SlowTarget(place) => {
-            let slow = TargetBehaviour { work: SLOW_WORK, ..TargetBehaviour::default() };
-            fleet.targets[place].behave(slow);
+        Fault::SlowTarget(index) => {
+            let slow = TargetBehaviour { work: SLOW_SERVICE_TIME, ..TargetBehaviour::default() };
+            fleet.targets[index].behave(slow);
             Ok(())
         }
-        // Callers are no part of the deployment.
+        // The caller starts the clients, which are not part of the deployment.
         Fault::Crowd => Ok(()),
     }
 }
 
-/// Mends a fault; a store that is restored gets this copy.
-pub(crate) fn mend(fleet: &mut Fleet, fault: Fault, copy: &Contents) -> eyre::Result<()> {
+/// Clears a fault. A store that is to be restored gets the contents of `backup`.
+///
+/// # Errors
+/// When a process cannot be signalled or restarted.
+pub(crate) fn clear(fleet: &mut Fleet, fault: Fault, backup: &Contents) -> eyre::Result<()> {
     match fault {
         Fault::StopBalancer(_)
         | Fault::Reload(_)
@@ -102,20 +108,20 @@
             fleet.remove_foreign_entries();
             Ok(())
         }
-        Fault::DrainTarget(place) => {
-            fleet.targets[place].renew();
+        Fault::DrainTarget(index) => {
+            fleet.targets[index].renew();
             Ok(())
         }
         Fault::EvacuateZone => {
             fleet.take_back(NEAR_ZONE);
             Ok(())
         }
-        Fault::KillBalancer(place) => fleet.balancers[place].restart(),
-        Fault::PauseBalancer(place) => fleet.balancers[place].signal(Signal::SIGCONT),
-        Fault::KillAgent(place) => fleet.agents[place].restart(),
-        Fault::PauseAgent(place) => fleet.agents[place].signal(Signal::SIGCONT),
-        Fault::CrashTarget(place) => {
-            fleet.targets[place].revive();
+        Fault::KillBalancer(index) => fleet.balancers[index].restart(),
+        Fault::PauseBalancer(index) => fleet.balancers[index].signal(Signal::SIGCONT),
+        Fault::KillAgent(index) => fleet.agents[index].restart(),
+        Fault::PauseAgent(index) => fleet.agents[index].signal(Signal::SIGCONT),
+        Fault::CrashTarget(index) => {
+            fleet.targets[index].revive();
             Ok(())
         }
         Fault::KillAll => {
@@ -123,7 +129,7 @@
             processes.try_for_each(ProcessHandle::restart)
         }
         Fault::Store(StoreTrouble::Restored) => {
-            fleet.store.restore(copy.clone());
+            fleet.store.restore(backup.clone());
             fleet.store.fail(StoreFault::None);
             fleet.write_again();
             Ok(())
@@ -132,16 +138,16 @@
             fleet.store.fail(StoreFault::None);
             Ok(())
         }
-        Fault::StoreLink(place, _) => {
-            fleet.store_links[place].fail(LinkFault::None);
+        Fault::StoreLink(index, _) => {
+            fleet.store_links[index].fail(LinkFault::None);
             Ok(())
         }
         Fault::LossyClients => {
             fleet.client.impair(Impairment::default());
             Ok(())
         }
-        Fault::SlowTarget(place) => {
-            fleet.targets[place].behave(TargetBehaviour::default());
+        Fault::SlowTarget(index) => {
+            fleet.targets[index].behave(TargetBehaviour::default());
             Ok(())
         }
     }
@@ -149,10 +155,10 @@
 
 fn fail_store(fleet: &Fleet, trouble: StoreTrouble) {
     let fault = match trouble {
-        StoreTrouble::Busy => StoreFault::Status(BUSY),
+        StoreTrouble::Busy => StoreFault::Status(OVERLOADED_STATUS),
         StoreTrouble::Silent => StoreFault::Silent,
         StoreTrouble::Reset | StoreTrouble::Restored => StoreFault::Reset,
-        StoreTrouble::Slow => StoreFault::Slow(SLOW),
+        StoreTrouble::Slow => StoreFault::Slow(STORE_DELAY),
         StoreTrouble::Forgets => return fleet.store.forget_history(),
     };
     fleet.store.fail(fault);
@@ -160,7 +166,7 @@
 
 fn link_fault(trouble: LinkTrouble) -> LinkFault {
     match trouble {
-        LinkTrouble::Delayed => LinkFault::Delay(SLOW),
+        LinkTrouble::Delayed => LinkFault::Delay(STORE_DELAY),
         LinkTrouble::Reset => LinkFault::Reset,
         LinkTrouble::Silent => LinkFault::Silent,
         LinkTrouble::LosesRequests => LinkFault::LosesRequests,
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! A randomized soak of the relay: real processes between stand-ins, faults from
-//! outside them in an order that a seed draws, and a check of each promise from
-//! what callers and targets saw.
+//! Randomized soak test of the relay. Real processes run between stand-in clients, targets
+//! and store, faults are injected from outside in an order derived from a seed, and each
+//! guarantee is checked against what clients and targets observed.
 //!
-//! [`plan`] draws the episodes, [`run`] plays them, [`record`] keeps what callers
-//! saw, and [`verdict`] judges it.
+//! [`plan`] generates the episodes, [`run`] executes them, [`request_log`] records the
+//! outcome of each request, and [`verdict`] checks the results.
 
-mod callers;
+mod client_tasks;
 mod faults;
 pub mod plan;
-pub mod record;
+pub mod request_log;
 pub mod run;
 pub mod verdict;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Draws the faults of a soak from its seed.
+//! Generates the faults of a soak from its seed.
 
 use std::time::Duration;
 
@@ -6,93 +6,93 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How many processes of each kind there are.
+/// Size of the deployment, in processes of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Targets, each with an agent.
+    /// Number of targets, each with an agent.
     pub targets: usize,
 }
 
-/// How the store fails for everybody.
+/// How the store fails for all its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreTrouble {
-    /// It refuses calls as overloaded.
+    /// It rejects requests with status 503 (overloaded).
     Busy,
-    /// It takes calls and says nothing.
+    /// It accepts requests but does not respond.
     Silent,
-    /// It breaks connections off.
+    /// It resets connections.
     Reset,
-    /// It answers late.
+    /// It delays its responses.
     Slow,
-    /// It serves, but forgets what changed before.
+    /// It keeps serving, but loses its history of changes.
     Forgets,
-    /// It is away, and comes back from a copy that lacks its latest writes. Operator and
-    /// targets write again.
+    /// It is unavailable and is then restored from a backup that lacks its latest writes.
+    /// The operator and the targets write their entries again.
     Restored,
 }
 
 /// How the connection between one balancer and the store fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkTrouble {
-    /// Everything arrives late.
+    /// All data is delayed.
     Delayed,
-    /// It is broken off.
+    /// The connection is reset.
     Reset,
-    /// Nothing passes.
+    /// No data passes, and the connection stays open.
     Silent,
-    /// The balancer's calls are lost.
+    /// The balancer's requests are lost.
     LosesRequests,
-    /// The store's answers are lost.
+    /// The store's responses are lost.
     LosesAnswers,
 }
 
-/// One thing that happens to the deployment. Numbers are places among the balancers
-/// or targets.
+/// A fault or a planned operation. Numbers are indexes of balancers, or of targets and their
+/// agents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A balancer is told to stop, and starts again.
+    /// A balancer shuts down gracefully (SIGTERM) and is restarted.
     StopBalancer(usize),
-    /// A target drains and comes back under a new identity.
+    /// A target drains and returns under a new identifier.
     DrainTarget(usize),
-    /// The operator empties the zone that some of the targets are in.
+    /// The operator evacuates the zone that some of the targets are in.
     EvacuateZone,
-    /// A process is told to read its settings again.
+    /// A balancer reloads its settings (SIGHUP).
     Reload(usize),
-    /// The operator changes the configuration.
+    /// The operator writes a new version of the configuration.
     Configure,
-    /// A balancer is killed, and starts again.
+    /// A balancer is killed and later restarted.
     KillBalancer(usize),
-    /// A balancer stands still.
+    /// A balancer is paused (SIGSTOP) and later resumed.
     PauseBalancer(usize),
-    /// An agent is killed, and starts again.
+    /// An agent is killed and later restarted.
     KillAgent(usize),
-    /// An agent stands still.
+    /// An agent is paused (SIGSTOP) and later resumed.
     PauseAgent(usize),
-    /// A target is gone without a word, and starts again without its flows.
+    /// A target stops responding without notice and later returns without its flows.
     CrashTarget(usize),
-    /// A target crashes and starts again at once under its identifier, without its flows.
+    /// A target crashes and restarts at once under the same identifier, without its flows.
     RestartTarget(usize),
-    /// Another writer leaves entries in the store that name nothing.
+    /// Another writer leaves entries in the store that refer to nothing.
     ForeignEntries,
-    /// All processes of the product are killed, and start again.
+    /// All balancers and agents are killed and later restarted.
     KillAll,
-    /// The store fails for everybody.
+    /// The store fails for all its clients.
     Store(StoreTrouble),
-    /// The connection between a balancer and the store fails.
+    /// The connection between one balancer and the store fails.
     StoreLink(usize, LinkTrouble),
-    /// Clients' packets are lost, doubled, and overtake each other.
+    /// Packets of clients are lost, duplicated and reordered.
     LossyClients,
-    /// A target takes far longer for each request.
+    /// The service time of a target rises far above the usual.
     SlowTarget(usize),
-    /// Many more callers come, one machine of them with as many as all others.
+    /// Many additional clients start; one machine runs as many of them as all others together.
     Crowd,
 }
 
 impl Fault {
-    /// Whether it is planned work, which may cut nothing.
-    pub fn is_planned(self) -> bool {
+    /// Whether no flow may break because of it: planned operations and harmless faults.
+    pub fn is_non_disruptive(self) -> bool {
         matches!(
             self,
             Fault::StopBalancer(_)
@@ -101,21 +101,21 @@
                 | Fault::Reload(_)
                 | Fault::Configure
                 | Fault::ForeignEntries
-                // Not planned, but as harmless: flows do not need the store.
+                // Not planned, but harmless too: flows do not depend on the store.
                 | Fault::Store(_)
                 | Fault::StoreLink(..)
-                // Openings may be refused, but no flow is cut.
+                // New flows may be refused, but no open flow may break.
                 | Fault::SlowTarget(_)
                 | Fault::Crowd
         )
     }
 
-    /// Whether openings may find no room.
+    /// Whether new flows may be refused for lack of capacity.
     fn may_refuse(&self) -> bool {
         matches!(self, Fault::SlowTarget(_) | Fault::Crowd)
     }
 
-    /// Whether it is brought about by a signal to one process.
+    /// Whether it is injected by a signal to one process.
     fn is_signal(&self) -> bool {
         matches!(
             self,
@@ -128,13 +128,13 @@
         )
     }
 
-    /// Whether targets must get no new flows while it lasts.
+    /// Whether it drains targets, which must then get no new flows.
     fn is_drain(&self) -> bool {
         matches!(self, Fault::DrainTarget(_) | Fault::EvacuateZone)
     }
 
-    /// Whether changes of the configuration reach all balancers meanwhile.
-    pub fn lets_changes_through(self) -> bool {
+    /// Whether a new configuration still reaches all balancers while it lasts.
+    pub fn allows_configuration_changes(self) -> bool {
         matches!(
             self,
             Fault::DrainTarget(_)
@@ -149,126 +149,131 @@
     }
 }
 
-/// Faults that overlap: they begin one after the other and are mended in that order.
+/// Overlapping faults. They are injected one after the other and cleared in the same order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Episode {
-    /// The faults.
+    /// The faults, in the order of injection.
     pub faults: Vec<Fault>,
-    /// Time from the begin of one to that of the next, and from mend to mend; 0 if all
-    /// begin and end together.
+    /// Time between two injections and between two clearings; 0 if all faults begin and end
+    /// together.
     pub gap: Duration,
-    /// How long each lasts.
-    pub lasts: Duration,
+    /// Time from the first injection to the first clearing, unless injecting takes longer.
+    pub duration: Duration,
 }
 
 impl Episode {
-    /// Whether requests must not fail in it.
+    /// Whether none of its faults may break a flow.
     pub fn is_harmless(&self) -> bool {
-        self.faults.iter().all(|fault| fault.is_planned())
+        self.faults.iter().all(|fault| fault.is_non_disruptive())
     }
 
-    /// Whether openings may be refused in it.
+    /// Whether new flows may be refused for lack of capacity.
     pub fn may_refuse(&self) -> bool {
         self.faults.iter().any(Fault::may_refuse)
     }
 }
 
-/// Shortest and longest time that faults last, in milliseconds.
-const LASTS_MS: std::ops::RangeInclusive<u64> = 1_500..=4_000;
-/// Time that a drain lasts: past the bound after which no flow may be opened.
-const DRAIN_LASTS: Duration = Duration::from_millis(4_500);
+/// Range of the duration of an episode without drains, in milliseconds.
+const DURATION_MS: std::ops::RangeInclusive<u64> = 1_500..=4_000;
+/// Duration of an episode with a drain. It exceeds the bound after which a draining target
+/// must get no new flows.
+const DRAIN_DURATION: Duration = Duration::from_millis(4_500);
 
-/// The episodes that a seed draws.
-pub fn draw(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    (0..episodes).map(|_| draw_episode(&mut random, size)).collect()
+/// Generates episodes of one or two faults that begin and end together.
+pub fn generate_episodes(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    (0..episodes).map(|_| generate_episode(&mut rng, size)).collect()
 }
 
-/// Most faults of one series.
-const LONGEST_SERIES: usize = 4;
-/// Longest time between two faults of a series, in milliseconds.
-const LONGEST_GAP_MS: u64 = 900;
+/// Maximum number of faults in a series.
+const MAX_SERIES_FAULTS: usize = 4;
+/// Maximum time between two faults of an episode, in milliseconds.
+const MAX_GAP_MS: u64 = 900;
 
-/// The series that a seed draws: up to four faults an episode that overlap, those of the
-/// store's and the targets' own lives among them.
-pub fn draw_series(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    (0..episodes).map(|_| draw_one_series(&mut random, size)).collect()
+/// Generates episodes of two to four overlapping faults, which include restores of the store,
+/// foreign entries in it and restarts of targets.
+pub fn generate_series(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    (0..episodes).map(|_| generate_one_series(&mut rng, size)).collect()
 }
 
-/// Most slow targets of an episode, beside a crowd.
-const MOST_SLOW_TARGETS: usize = 3;
+/// Maximum number of slow targets in an episode with a crowd.
+const MAX_SLOW_TARGETS: usize = 3;
 
-/// The crowds that a seed draws: each with some slow targets and, in half of them, another
-/// fault.
-pub fn draw_crowds(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    (0..episodes).map(|_| draw_crowd(&mut random, size)).collect()
+/// Generates episodes with a crowd of clients and up to three slow targets. Half of them draw
+/// another fault too, which is left out if it conflicts with the others.
+pub fn generate_crowds(seed: u64, episodes: usize, size: Size) -> Vec<Episode> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    (0..episodes).map(|_| generate_crowd(&mut rng, size)).collect()
 }
 
-fn draw_crowd(random: &mut ChaCha8Rng, size: Size) -> Episode {
+fn generate_crowd(rng: &mut ChaCha8Rng, size: Size) -> Episode {
     let mut faults = vec![Fault::Crowd];
-    for _ in 0..random.random_range(0..=MOST_SLOW_TARGETS) {
-        let slow = Fault::SlowTarget(random.random_range(0..size.targets));
+    for _ in 0..rng.random_range(0..=MAX_SLOW_TARGETS) {
+        let slow = Fault::SlowTarget(rng.random_range(0..size.targets));
         if !faults.contains(&slow) {
             faults.push(slow);
         }
     }
-    if random.random_bool(0.5) {
-        let other = draw_fault(random, size);
-        if faults.iter().all(|known| !touch_the_same(*known, other)) {
+    if rng.random_bool(0.5) {
+        let other = generate_fault(rng, size);
+        if faults.iter().all(|chosen| !conflict(*chosen, other)) {
             faults.push(other);
         }
     }
-    let gap = Duration::from_millis(random.random_range(0..=LONGEST_GAP_MS));
+    let gap = Duration::from_millis(rng.random_range(0..=MAX_GAP_MS));
     let drains = faults.iter().any(|fault| fault.is_drain());
-    let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-    Episode { faults, gap, lasts: if drains { DRAIN_LASTS } else { lasts } }
+    let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+    Episode { faults, gap, duration: if drains { DRAIN_DURATION } else { duration } }
 }
 
-fn draw_one_series(random: &mut ChaCha8Rng, size: Size) -> Episode {
-    let count = random.random_range(2..=LONGEST_SERIES);
+fn generate_one_series(rng: &mut ChaCha8Rng, size: Size) -> Episode {
+    let count = rng.random_range(2..=MAX_SERIES_FAULTS);
     let mut faults: Vec<Fault> = Vec::new();
     while faults.len() < count {
-        let fault = match random.random_range(0..6) {
+        let fault = match rng.random_range(0..6) {
             0 => Fault::Store(StoreTrouble::Restored),
-            1 => Fault::RestartTarget(random.random_range(0..size.targets)),
+            1 => Fault::RestartTarget(rng.random_range(0..size.targets)),
             2 => Fault::ForeignEntries,
-            _ => draw_fault(random, size),
+            _ => generate_fault(rng, size),
         };
-        if faults.iter().all(|known| !touch_the_same(*known, fault)) {
+        if faults.iter().all(|chosen| !conflict(*chosen, fault)) {
             faults.push(fault);
         }
     }
-    let gap = Duration::from_millis(random.random_range(0..=LONGEST_GAP_MS));
+    let gap = Duration::from_millis(rng.random_range(0..=MAX_GAP_MS));
     let drains = faults.iter().any(|fault| fault.is_drain());
-    let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-    Episode { faults, gap, lasts: if drains { DRAIN_LASTS } else { lasts } }
+    let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+    Episode { faults, gap, duration: if drains { DRAIN_DURATION } else { duration } }
 }
 
-fn draw_episode(random: &mut ChaCha8Rng, size: Size) -> Episode {
-    let count = random.random_range(1..=2);
+fn generate_episode(rng: &mut ChaCha8Rng, size: Size) -> Episode {
+    let count = rng.random_range(1..=2);
     let mut faults: Vec<Fault> = Vec::new();
     while faults.len() < count {
-        let fault = draw_fault(random, size);
-        let is_alone = |kind: Fault| kind == Fault::KillAll;
-        if is_alone(fault) {
+        let fault = generate_fault(rng, size);
+        let excludes_others = |kind: Fault| kind == Fault::KillAll;
+        if excludes_others(fault) {
             faults = vec![fault];
             break;
         }
-        if faults.iter().all(|known| !touch_the_same(*known, fault)) {
+        if faults.iter().all(|chosen| !conflict(*chosen, fault)) {
             faults.push(fault);
         }
     }
-    faults.shuffle(random);
+    faults.shuffle(rng);
     let drains = faults.iter().any(|fault| fault.is_drain());
-    let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-    Episode { faults, gap: Duration::ZERO, lasts: if drains { DRAIN_LASTS } else { lasts } }
+    let duration = Duration::from_millis(rng.random_range(DURATION_MS));
+    Episode {
+        faults,
+        gap: Duration::ZERO,
+        duration: if drains { DRAIN_DURATION } else { duration },
+    }
 }
 
-fn draw_fault(random: &mut ChaCha8Rng, size: Size) -> Fault {
-    let balancer = random.random_range(0..size.balancers);
-    let target = random.random_range(0..size.targets);
+fn generate_fault(rng: &mut ChaCha8Rng, size: Size) -> Fault {
+    let balancer = rng.random_range(0..size.balancers);
+    let target = rng.random_range(0..size.targets);
     let store = [
         StoreTrouble::Busy,
         StoreTrouble::Silent,
@@ -283,7 +288,7 @@
         LinkTrouble::LosesRequests,
         LinkTrouble::LosesAnswers,
     ];
-    match random.random_range(0..14) {
+    match rng.random_range(0..14) {
         0 => Fault::StopBalancer(balancer),
         1 => Fault::DrainTarget(target),
         2 => Fault::Reload(balancer),
@@ -294,19 +299,18 @@
         7 => Fault::PauseAgent(target),
         8 => Fault::CrashTarget(target),
         9 => Fault::KillAll,
-        10 => Fault::Store(store.choose(random).copied().unwrap_or(StoreTrouble::Busy)),
-        11 => {
-            Fault::StoreLink(balancer, link.choose(random).copied().unwrap_or(LinkTrouble::Reset))
-        }
+        10 => Fault::Store(store.choose(rng).copied().unwrap_or(StoreTrouble::Busy)),
+        11 => Fault::StoreLink(balancer, link.choose(rng).copied().unwrap_or(LinkTrouble::Reset)),
         12 => Fault::EvacuateZone,
         _ => Fault::LossyClients,
     }
 }
 
-/// Whether two faults concern the same process or store, so that mending one would undo
-/// the other, or could together leave a service without a target.
-fn touch_the_same(one: Fault, other: Fault) -> bool {
-    let takes_targets = |fault: Fault| {
+/// Whether two faults must not be in the same episode: they affect the same process or the
+/// store, so clearing one would undo the other, or together they could leave a service without
+/// a target.
+fn conflict(one: Fault, other: Fault) -> bool {
+    let disables_targets = |fault: Fault| {
         matches!(
             fault,
             Fault::EvacuateZone
@@ -315,24 +319,24 @@
                 | Fault::RestartTarget(_)
         )
     };
-    if takes_targets(one) && takes_targets(other) {
+    if disables_targets(one) && disables_targets(other) {
         return true;
     }
-    // What was killed takes no signal.
+    // A killed process cannot receive signals.
     if [one, other].contains(&Fault::KillAll) && (one.is_signal() || other.is_signal()) {
         return true;
     }
-    let touched = |fault: Fault| match fault {
-        Fault::StopBalancer(place)
-        | Fault::Reload(place)
-        | Fault::KillBalancer(place)
-        | Fault::PauseBalancer(place) => (0, place),
-        Fault::DrainTarget(place)
-        | Fault::KillAgent(place)
-        | Fault::PauseAgent(place)
-        | Fault::CrashTarget(place)
-        | Fault::RestartTarget(place)
-        | Fault::SlowTarget(place) => (1, place),
+    let affected_component = |fault: Fault| match fault {
+        Fault::StopBalancer(index)
+        | Fault::Reload(index)
+        | Fault::KillBalancer(index)
+        | Fault::PauseBalancer(index) => (0, index),
+        Fault::DrainTarget(index)
+        | Fault::KillAgent(index)
+        | Fault::PauseAgent(index)
+        | Fault::CrashTarget(index)
+        | Fault::RestartTarget(index)
+        | Fault::SlowTarget(index) => (1, index),
         Fault::Store(_) | Fault::StoreLink(..) => (2, 0),
         Fault::Configure => (3, 0),
         Fault::LossyClients => (4, 0),
@@ -341,5 +345,5 @@
         Fault::ForeignEntries => (7, 0),
         Fault::Crowd => (8, 0),
     };
-    touched(one) == touched(other)
+    affected_component(one) == affected_component(other)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays the episodes of a soak.
+//! Runs the episodes of a soak against a deployment of real processes.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,104 +8,106 @@
     counter, http_get,
 };
 
-use crate::callers::Callers;
+use crate::client_tasks::ClientTasks;
 use crate::faults::{self, SERVICES};
-use crate::plan::{Episode, Fault, Size, draw, draw_crowds, draw_series};
-use crate::record::{Entry, Outcome, Record};
-use crate::verdict::{Drain, Evidence, Span, TargetHistory, Violation, excuse, judge};
+use crate::plan::{Episode, Fault, Size, generate_crowds, generate_episodes, generate_series};
+use crate::request_log::{Outcome, RequestLog, RequestRecord};
+use crate::verdict::{
+    Drain, Evidence, Span, TargetHistory, Violation, disrupted_span, find_violations,
+};
 
-/// Balancers of the smallest deployment that soaks.
+/// Number of balancers of the smallest deployment.
 const BALANCERS: u8 = 3;
-/// The service of each of its targets. A larger one is so many times the same.
+/// Service of each target of the smallest deployment. Larger ones repeat the list.
 const TARGETS: [&str; 5] = [SERVICES[0], SERVICES[0], SERVICES[0], SERVICES[1], SERVICES[1]];
-/// The zone of each of them: each service has targets in both.
+/// Zone of each of these targets. Each service has targets in both zones.
 const TARGET_ZONES: [&str; 5] = [HOME_ZONE, HOME_ZONE, NEAR_ZONE, HOME_ZONE, NEAR_ZONE];
-/// Largest deployment, in times the smallest: 200 processes.
+/// Largest deployment, as a multiple of the smallest: 200 balancers and targets.
 pub const LARGEST_SCALE: u8 = 25;
-/// Time between episodes, in which everything must be served again.
-const SETTLE: Duration = Duration::from_secs(7);
-/// Bound on a configuration, and what a look at it may be late by.
+/// Time between episodes, in which the deployment must recover.
+const SETTLE_TIME: Duration = Duration::from_secs(7);
+/// Time within which a new configuration must take effect, with a tolerance for polling.
 const CONFIGURATION_BOUND: Duration = Duration::from_millis(3_500);
-/// Bound on new flows at a draining target, and what they may be late by.
+/// Time after which a draining target must get no new flows, with a tolerance for late ones.
 const DRAIN_BOUND: Duration = Duration::from_millis(3_200);
-/// Time after a crowd in which openings may still be refused: an attempt to open a flow
-/// takes 1.4 s, and a slow target's last request 0.4 s.
+/// Time after a crowd in which new flows may still be refused: an attempt to open a flow takes
+/// 1.4 s, and the last request at a slow target 0.4 s.
 const CROWD_RECOVERY: Duration = Duration::from_secs(2);
-/// Places of the machines that crowds come from.
+/// Numbers of the client machines on which crowds run.
 const CROWD_MACHINES: std::ops::Range<u8> = 230..238;
-/// Latency objective of the routes in a soak of crowds.
-const OBJECTIVE_MS: u64 = 300;
-/// How often the configurations in force are looked at.
-const LOOK: Duration = Duration::from_millis(200);
-/// Port of metrics, alike on all machines.
-const METRICS: u16 = 9_464;
-/// Name of the gauge with the version in force.
-const VERSION: &str = "weirhinge_configuration_version";
+/// Latency objective of the routes in a soak with crowds, in milliseconds.
+const LATENCY_OBJECTIVE_MS: u64 = 300;
+/// Interval at which the versions in effect are polled, and the timeout of each request.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Port of the metrics endpoint on every machine.
+const METRICS_PORT: u16 = 9_464;
+/// Name of the gauge that holds the version of the configuration in effect.
+const VERSION_GAUGE: &str = "weirhinge_configuration_version";
 
-/// How to soak.
+/// Options of a soak.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Seed of the faults.
     pub seed: u64,
-    /// Episodes to play.
+    /// Number of episodes.
     pub episodes: usize,
-    /// How many times the smallest deployment, of three balancers and five targets, is run;
-    /// 1 to [`LARGEST_SCALE`].
+    /// Size as a multiple of the smallest deployment, which has three balancers and five
+    /// targets; 1 to [`LARGEST_SCALE`].
     pub scale: u8,
-    /// How faults come.
+    /// How faults are combined.
     pub faults: Faults,
     /// Whether to print each episode as it begins.
     pub verbose: bool,
 }
 
-/// How faults come.
+/// How the faults of an episode are combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Faults {
-    /// One or two that begin and end together.
+    /// One or two faults that begin and end together.
     Together,
-    /// In series that overlap, also of the store's and the targets' own lives.
+    /// Series of overlapping faults, including restores of the store and restarts of targets.
     Series,
-    /// In crowds of callers, at targets that may be slow.
+    /// Crowds of clients, combined with slow targets and other faults.
     Crowds,
 }
 
-/// What came out.
+/// Result of a soak.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Requests that ended.
+    /// Number of finished requests.
     pub requests: usize,
-    /// Requests that were answered.
+    /// Number of answered requests.
     pub answered: usize,
-    /// The episodes that were played.
+    /// The episodes that were run.
     pub episodes: Vec<Episode>,
-    /// Broken promises, each with the request that it is about and the seconds from
-    /// the start to its begin.
-    pub violations: Vec<(Violation, Option<(Entry, f64)>)>,
+    /// Violations, each with the affected request, if any, and the seconds from the start of
+    /// the load to the start of that request.
+    pub violations: Vec<(Violation, Option<(RequestRecord, f64)>)>,
 }
 
 struct Soak {
     fleet: Fleet,
     size: Size,
-    record: Record,
-    /// Machines from which crowds come.
+    request_log: RequestLog,
+    /// Client machines on which crowds run.
     crowd_machines: Vec<Client>,
-    callers: Callers,
-    crowd: Option<Callers>,
-    excused: Vec<Span>,
-    crowded: Vec<Span>,
+    client_tasks: ClientTasks,
+    crowd: Option<ClientTasks>,
+    failures_allowed: Vec<Span>,
+    refusals_allowed: Vec<Span>,
     drains: Vec<Drain>,
     crashed_at: Vec<Vec<Instant>>,
-    /// What a restored store comes back with.
-    copy: Contents,
-    /// Configuration last seen in each balancer's present life.
-    seen: Vec<u64>,
-    configurations: Vec<Violation>,
+    /// Contents with which the store is restored.
+    backup: Contents,
+    /// Last version seen in the current incarnation of each balancer; 0 if none.
+    seen_versions: Vec<u64>,
+    configuration_violations: Vec<Violation>,
 }
 
-/// Soaks the program at this path.
+/// Runs a soak of the program at this path.
 ///
 /// # Errors
-/// When the deployment cannot be started or a fault cannot be brought about.
+/// When the deployment cannot be started, or a fault cannot be injected or cleared.
 pub async fn soak(program: &Path, options: Options) -> eyre::Result<Report> {
     let scale = options.scale.clamp(1, LARGEST_SCALE);
     let plan = FleetPlan {
@@ -120,51 +122,53 @@
     let mut soak = Soak {
         fleet,
         size,
-        record: Record::default(),
+        request_log: RequestLog::default(),
         crowd_machines: Vec::new(),
-        callers: Callers::default(),
+        client_tasks: ClientTasks::default(),
         crowd: None,
-        excused: Vec::new(),
-        crowded: Vec::new(),
+        failures_allowed: Vec::new(),
+        refusals_allowed: Vec::new(),
         drains: Vec::new(),
         crashed_at: vec![Vec::new(); size.targets],
-        copy: Contents::default(),
-        seen: vec![0; size.balancers],
-        configurations: Vec::new(),
+        backup: Contents::default(),
+        seen_versions: vec![0; size.balancers],
+        configuration_violations: Vec::new(),
     };
     if options.faults == Faults::Crowds {
-        soak.expect_crowds().await?;
+        soak.prepare_crowds().await?;
     }
     soak.change_configuration(true).await;
-    soak.copy = soak.fleet.store.copy();
-    soak.callers.start(&soak.fleet.client, &soak.record);
+    soak.backup = soak.fleet.store.copy();
+    soak.client_tasks.start(&soak.fleet.client, &soak.request_log);
     let started = Instant::now();
-    let draw = match options.faults {
-        Faults::Together => draw,
-        Faults::Series => draw_series,
-        Faults::Crowds => draw_crowds,
+    let generate = match options.faults {
+        Faults::Together => generate_episodes,
+        Faults::Series => generate_series,
+        Faults::Crowds => generate_crowds,
     };
-    let episodes = draw(options.seed, options.episodes, size);
+    let episodes = generate(options.seed, options.episodes, size);
     for (number, episode) in episodes.iter().enumerate() {
         if options.verbose {
             let seconds = started.elapsed().as_secs_f64();
-            let Episode { faults, gap, lasts } = episode;
-            println!("{seconds:.1} s: episode {number}: {faults:?}, {gap:?} apart, for {lasts:?}");
+            let Episode { faults, gap, duration } = episode;
+            println!(
+                "{seconds:.1} s: episode {number}: {faults:?}, {gap:?} apart, for {duration:?}"
+            );
         }
-        soak.play(episode).await?;
+        soak.run_episode(episode).await?;
     }
-    std::mem::take(&mut soak.callers).stop().await;
+    std::mem::take(&mut soak.client_tasks).stop().await;
     let evidence = soak.evidence();
-    let answered = |entry: &&Entry| matches!(entry.outcome, Outcome::Answered(_));
+    let answered = |entry: &&RequestRecord| matches!(entry.outcome, Outcome::Answered(_));
     Ok(Report {
         requests: evidence.entries.len(),
         answered: evidence.entries.iter().filter(answered).count(),
         episodes,
-        violations: judge(&evidence)
+        violations: find_violations(&evidence)
             .into_iter()
             .map(|violation| {
                 let entry = violation.request().and_then(|id| evidence.entry(id)).cloned();
-                let seconds = |entry: &Entry| (entry.began_at - started).as_secs_f64();
+                let seconds = |entry: &RequestRecord| (entry.started_at - started).as_secs_f64();
                 let entry = entry.map(|entry| (entry.clone(), seconds(&entry)));
                 (violation, entry)
             })
@@ -172,136 +176,148 @@
     })
 }
 
-/// The targets that must get no new flow while a fault lasts.
-fn drained(fault: Fault, targets: usize) -> impl Iterator<Item = usize> {
-    let is_drained = move |place: &usize| match fault {
-        Fault::DrainTarget(target) => target == *place,
-        Fault::EvacuateZone => TARGET_ZONES[*place % TARGET_ZONES.len()] == NEAR_ZONE,
+/// Returns the indexes of the targets that a fault drains.
+fn drained_targets(fault: Fault, targets: usize) -> impl Iterator<Item = usize> {
+    let is_drained = move |index: &usize| match fault {
+        Fault::DrainTarget(target) => target == *index,
+        Fault::EvacuateZone => TARGET_ZONES[*index % TARGET_ZONES.len()] == NEAR_ZONE,
         _ => false,
     };
     (0..targets).filter(is_drained)
 }
 
 impl Soak {
-    async fn play(&mut self, episode: &Episode) -> eyre::Result<()> {
+    async fn run_episode(&mut self, episode: &Episode) -> eyre::Result<()> {
         let from = Instant::now();
         let store_serves = !episode.faults.iter().any(|fault| matches!(fault, Fault::Store(_)));
-        // A restored store lacks what was written since the episode before this one began.
-        let copy = std::mem::replace(&mut self.copy, self.fleet.store.copy());
+        // The backup lacks what was written since the start of the previous episode.
+        let backup = std::mem::replace(&mut self.backup, self.fleet.store.copy());
         for fault in &episode.faults {
-            faults::begin(&mut self.fleet, *fault).await?;
+            faults::inject(&mut self.fleet, *fault).await?;
             if *fault == Fault::Crowd {
-                self.crowd = Some(self.callers.start_crowd(&self.crowd_machines, &self.record));
+                self.crowd =
+                    Some(self.client_tasks.start_crowd(&self.crowd_machines, &self.request_log));
             }
-            self.note_begin(*fault);
-            self.look_for(episode.gap).await;
+            self.track_fault(*fault);
+            self.poll_versions_for(episode.gap).await;
         }
-        let changes = episode.faults.contains(&Fault::Configure);
-        let reaches_all = episode.faults.iter().all(|fault| fault.lets_changes_through());
-        if changes {
-            self.watch_configuration(reaches_all).await;
+        let changes_configuration = episode.faults.contains(&Fault::Configure);
+        let reaches_all = episode.faults.iter().all(|fault| fault.allows_configuration_changes());
+        if changes_configuration {
+            self.await_configuration(reaches_all).await;
         }
-        self.look_for(episode.lasts.saturating_sub(from.elapsed())).await;
+        self.poll_versions_for(episode.duration.saturating_sub(from.elapsed())).await;
         for fault in &episode.faults {
             if store_serves {
                 let span = Span { from: from + DRAIN_BOUND, to: Instant::now() };
                 self.drains.extend(
-                    drained(*fault, self.size.targets).map(|target| Drain { target, span }),
+                    drained_targets(*fault, self.size.targets).map(|target| Drain { target, span }),
                 );
             }
-            faults::mend(&mut self.fleet, *fault, &copy)?;
+            faults::clear(&mut self.fleet, *fault, &backup)?;
             if *fault == Fault::Crowd
                 && let Some(crowd) = self.crowd.take()
             {
                 crowd.stop().await;
             }
-            self.look_for(episode.gap).await;
+            self.poll_versions_for(episode.gap).await;
         }
         if episode.may_refuse() {
-            self.crowded.push(Span { from, to: Instant::now() + CROWD_RECOVERY });
+            self.refusals_allowed.push(Span { from, to: Instant::now() + CROWD_RECOVERY });
         }
         if !episode.is_harmless() {
-            self.excused.push(excuse(from, Instant::now()));
+            self.failures_allowed.push(disrupted_span(from, Instant::now()));
         }
-        self.look_for(SETTLE).await;
+        self.poll_versions_for(SETTLE_TIME).await;
         self.check_version();
         Ok(())
     }
 
-    /// Starts the machines that crowds come from, and lets routes state an objective.
-    async fn expect_crowds(&mut self) -> eyre::Result<()> {
-        for place in CROWD_MACHINES {
-            self.crowd_machines.push(self.fleet.add_client(place).await?);
+    /// Starts the client machines for crowds and sets a latency objective on the routes.
+    async fn prepare_crowds(&mut self) -> eyre::Result<()> {
+        for machine in CROWD_MACHINES {
+            self.crowd_machines.push(self.fleet.add_client(machine).await?);
         }
-        self.fleet.objective_ms = Some(OBJECTIVE_MS);
+        self.fleet.objective_ms = Some(LATENCY_OBJECTIVE_MS);
         Ok(())
     }
 
-    /// Notes what a fault means for what is expected.
-    fn note_begin(&mut self, fault: Fault) {
+    /// Updates the expected state of targets and balancers for a fault that was injected.
+    fn track_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::CrashTarget(place) | Fault::RestartTarget(place) => {
-                self.crashed_at[place].push(Instant::now());
+            Fault::CrashTarget(index) | Fault::RestartTarget(index) => {
+                self.crashed_at[index].push(Instant::now());
+            }
+            Fault::StopBalancer(index) | Fault::KillBalancer(index) => {
+                self.seen_versions[index] = 0
             }
-            Fault::StopBalancer(place) | Fault::KillBalancer(place) => self.seen[place] = 0,
-            Fault::KillAll => self.seen.fill(0),
+            Fault::KillAll => self.seen_versions.fill(0),
             _ => {}
         }
     }
 
-    /// With all faults mended for long, the newest configuration is in force everywhere.
+    /// Checks that every balancer runs the newest configuration once all faults are cleared and
+    /// the deployment has settled.
     fn check_version(&mut self) {
         let version = self.fleet.version();
-        let behind = (0..self.size.balancers).filter(|place| self.seen[*place] < version);
-        let behind = behind.map(|balancer| Violation::NotInForce { balancer, version });
-        self.configurations.extend(behind.collect::<Vec<_>>());
+        let outdated =
+            (0..self.size.balancers).filter(|index| self.seen_versions[*index] < version);
+        let outdated = outdated.map(|balancer| Violation::NotInForce { balancer, version });
+        self.configuration_violations.extend(outdated.collect::<Vec<_>>());
     }
 
     async fn change_configuration(&mut self, reaches_all: bool) {
         faults::configure(&mut self.fleet);
-        self.watch_configuration(reaches_all).await;
+        self.await_configuration(reaches_all).await;
     }
 
-    /// Waits until the newest configuration is in force everywhere.
-    async fn watch_configuration(&mut self, reaches_all: bool) {
-        let began = Instant::now();
+    /// Waits until the newest configuration is in effect on all balancers, up to the bound.
+    /// Reports a violation after the bound if `reaches_all` is set.
+    async fn await_configuration(&mut self, reaches_all: bool) {
+        let wait_start = Instant::now();
         let version = self.fleet.version();
-        while began.elapsed() < CONFIGURATION_BOUND {
-            self.look().await;
-            if self.seen.iter().all(|seen| *seen >= version) {
+        while wait_start.elapsed() < CONFIGURATION_BOUND {
+            self.poll_versions().await;
+            if self.seen_versions.iter().all(|seen| *seen >= version) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         if !reaches_all {
             return;
         }
-        let late = (0..self.size.balancers).filter(|place| self.seen[*place] < version);
+        let late = (0..self.size.balancers).filter(|index| self.seen_versions[*index] < version);
         let late = late.map(|balancer| Violation::NotInForce { balancer, version });
-        self.configurations.extend(late.collect::<Vec<_>>());
+        self.configuration_violations.extend(late.collect::<Vec<_>>());
     }
 
-    /// Lets time pass and looks at the configurations meanwhile.
-    async fn look_for(&mut self, time: Duration) {
+    /// Polls the versions in effect for the given time.
+    async fn poll_versions_for(&mut self, time: Duration) {
         let end = Instant::now() + time;
         while Instant::now() < end {
-            self.look().await;
-            tokio::time::sleep(LOOK).await;
+            self.poll_versions().await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks each balancer that answers for its configuration.
-    async fn look(&mut self) {
+    /// Reads the version in effect from the metrics of each balancer that responds.
+    async fn poll_versions(&mut self) {
         for balancer in 0..self.size.balancers {
             let address = self.fleet.balancers[balancer].address.into();
-            let asked = tokio::time::timeout(LOOK, http_get(address, METRICS, "/metrics")).await;
-            let Ok(Ok(page)) = asked else { continue };
-            let Some(version) = counter(&page, VERSION) else { continue };
-            let from = self.seen[balancer];
+            let response =
+                tokio::time::timeout(POLL_INTERVAL, http_get(address, METRICS_PORT, "/metrics"))
+                    .await;
+            let Ok(Ok(page)) = response else { continue };
+            let Some(version) = counter(&page, VERSION_GAUGE) else { continue };
+            let from = self.seen_versions[balancer];
             if version < from {
-                self.configurations.push(Violation::WentBack { balancer, from, to: version });
+                self.configuration_violations.push(Violation::WentBack {
+                    balancer,
+                    from,
+                    to: version,
+                });
             }
-            self.seen[balancer] = version;
+            self.seen_versions[balancer] = version;
         }
     }
 
@@ -310,21 +326,21 @@
         let targets = targets.map(|(target, crashed_at)| TargetHistory {
             name: target.name.clone(),
             service: target.service.clone(),
-            ran: target.ran(),
-            taken_at: target.taken_at(),
-            forged: target.forged(),
+            executed_requests: target.ran(),
+            accepted_at: target.taken_at(),
+            corrupted_packets: target.forged(),
             crashed_at,
         });
         let machines = self.crowd_machines.iter().chain([&self.fleet.client]);
-        let forged = machines.map(Client::forged).sum();
+        let corrupted_packets = machines.map(Client::forged).sum();
         Evidence {
-            entries: self.record.entries(),
+            entries: self.request_log.entries(),
             targets: targets.collect(),
-            excused: self.excused,
-            crowded: self.crowded,
+            failures_allowed: self.failures_allowed,
+            refusals_allowed: self.refusals_allowed,
             drains: self.drains,
-            forged_to_clients: forged,
-            configurations: self.configurations,
+            corrupted_to_clients: corrupted_packets,
+            configuration_violations: self.configuration_violations,
         }
     }
 }
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -1,113 +1,113 @@
-//! Judges a soak by the product's promises.
+//! Checks the evidence of a soak against the guarantees of the product.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-use crate::record::{Entry, Kind, Outcome};
+use crate::request_log::{Kind, Outcome, RequestRecord};
 
-/// What one target saw.
+/// What one target observed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetHistory {
-    /// By what its answers name it.
+    /// Name of the target in its responses.
     pub name: String,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: String,
     /// Identifiers of the requests that it ran.
-    pub ran: Vec<String>,
-    /// When it took new flows.
-    pub taken_at: Vec<Instant>,
-    /// Packets that are not what a client wrote.
-    pub forged: u64,
-    /// When it lost its flows.
+    pub executed_requests: Vec<String>,
+    /// When it accepted new flows.
+    pub accepted_at: Vec<Instant>,
+    /// Number of received packets that differ from what a client sent.
+    pub corrupted_packets: u64,
+    /// When it crashed and lost its flows.
     pub crashed_at: Vec<Instant>,
 }
 
-/// A stretch of time.
+/// A time span, with both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its begin.
+    /// Start of the span.
     pub from: Instant,
-    /// Its end.
+    /// End of the span.
     pub to: Instant,
 }
 
-/// A target that was not to get new flows.
+/// A period in which a draining target must not get new flows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drain {
-    /// Its place among the targets.
+    /// Index of the target.
     pub target: usize,
-    /// The time from the bound on.
+    /// The period, which starts when the bound on drains has passed.
     pub span: Span,
 }
 
-/// What is judged.
+/// Everything that the checks of a soak are based on.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// What callers saw.
-    pub entries: Vec<Entry>,
-    /// What targets saw.
+    /// Requests that clients finished.
+    pub entries: Vec<RequestRecord>,
+    /// History of each target.
     pub targets: Vec<TargetHistory>,
-    /// When requests may fail.
-    pub excused: Vec<Span>,
-    /// When openings may be refused, as there is too little room.
-    pub crowded: Vec<Span>,
-    /// Targets that were not to get new flows.
+    /// Spans in which requests may fail.
+    pub failures_allowed: Vec<Span>,
+    /// Spans in which flows may be refused because capacity is short.
+    pub refusals_allowed: Vec<Span>,
+    /// Periods in which targets must not get new flows.
     pub drains: Vec<Drain>,
-    /// Packets that reached clients and are not what a target wrote.
-    pub forged_to_clients: u64,
-    /// What was seen of configurations.
-    pub configurations: Vec<Violation>,
+    /// Number of packets received by clients that differ from what a target sent.
+    pub corrupted_to_clients: u64,
+    /// Violations found while the versions of the configuration were polled.
+    pub configuration_violations: Vec<Violation>,
 }
 
 impl Evidence {
-    /// The request with this identifier.
-    pub fn entry(&self, id: &str) -> Option<&Entry> {
+    /// Returns the request with this identifier.
+    pub fn entry(&self, id: &str) -> Option<&RequestRecord> {
         self.entries.iter().find(|entry| entry.id == id)
     }
 }
 
-/// A broken promise.
+/// A broken guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A request ran more than once.
     RanTwice(String),
-    /// A target ran what no caller sent.
+    /// A target ran a request that is not in the clients' log.
     Unasked(String),
     /// A target of another service ran a request.
     WrongService(String),
-    /// A caller got an answer of a target that did not run the request.
+    /// A client got a response from a target that did not run the request.
     AnswerWithoutRun(String),
-    /// A request ran though its caller never sent it.
+    /// A request ran although its client could not open a flow to send it.
     RanUnsent(String),
-    /// A request failed while nothing unplanned happened.
+    /// A request failed outside the spans in which this outcome is allowed.
     Failed(String, Outcome),
-    /// An open flow was reset while its target held it.
+    /// A flow was reset although the target that held it had not crashed since it opened.
     ResetHeldFlow(String),
-    /// A target got a new flow past the bound on drains.
+    /// A draining target got a new flow after the bound on drains.
     LateAtDrainingTarget(String),
-    /// A packet was changed on its way.
+    /// This number of packets were corrupted in transit.
     Forged(u64),
-    /// A configuration was not in force within its bound.
+    /// A configuration was not in effect within its bound.
     NotInForce {
-        /// Place of the balancer.
+        /// Index of the balancer.
         balancer: usize,
-        /// The version.
+        /// Version that was expected.
         version: u64,
     },
-    /// A balancer went back to an older configuration.
+    /// A balancer reverted to an older configuration within one incarnation.
     WentBack {
-        /// Place of the balancer.
+        /// Index of the balancer.
         balancer: usize,
-        /// The newer version.
+        /// Version seen before.
         from: u64,
-        /// The older one.
+        /// Older version seen afterwards.
         to: u64,
     },
 }
 
 impl Violation {
-    /// The request that it is about, if it is about one.
+    /// Returns the identifier of the affected request, if the violation concerns one.
     pub fn request(&self) -> Option<&str> {
         match self {
             Violation::RanTwice(id)
@@ -131,27 +131,28 @@
     }
 }
 
-/// All broken promises.
-pub fn judge(evidence: &Evidence) -> Vec<Violation> {
-    let mut violations = evidence.configurations.clone();
-    judge_runs(evidence, &mut violations);
-    judge_requests(evidence, &mut violations);
-    judge_drains(evidence, &mut violations);
-    let forged: u64 = evidence.targets.iter().map(|target| target.forged).sum();
-    let forged = forged + evidence.forged_to_clients;
-    if forged > 0 {
-        violations.push(Violation::Forged(forged));
+/// Returns all violations that the evidence shows.
+pub fn find_violations(evidence: &Evidence) -> Vec<Violation> {
+    let mut violations = evidence.configuration_violations.clone();
+    check_runs(evidence, &mut violations);
+    check_outcomes(evidence, &mut violations);
+    check_drains(evidence, &mut violations);
+    let corrupted_packets: u64 =
+        evidence.targets.iter().map(|target| target.corrupted_packets).sum();
+    let corrupted_packets = corrupted_packets + evidence.corrupted_to_clients;
+    if corrupted_packets > 0 {
+        violations.push(Violation::Forged(corrupted_packets));
     }
     violations
 }
 
-/// What targets ran against what callers sent.
-fn judge_runs(evidence: &Evidence, violations: &mut Vec<Violation>) {
-    let sent: HashMap<&str, &Entry> =
+/// Checks the requests that targets ran against those that clients sent.
+fn check_runs(evidence: &Evidence, violations: &mut Vec<Violation>) {
+    let sent: HashMap<&str, &RequestRecord> =
         evidence.entries.iter().map(|entry| (entry.id.as_str(), entry)).collect();
     let mut runs: HashMap<&str, usize> = HashMap::new();
     for target in &evidence.targets {
-        for id in &target.ran {
+        for id in &target.executed_requests {
             *runs.entry(id).or_default() += 1;
             let Some(entry) = sent.get(id.as_str()) else {
                 violations.push(Violation::Unasked(id.clone()));
@@ -160,67 +161,72 @@
             if entry.outcome == Outcome::NeverOpened {
                 violations.push(Violation::RanUnsent(id.clone()));
             }
-            let is_sheet = target.service == "sheets";
-            if is_sheet != (entry.kind == Kind::Sheet) {
+            let is_sheets_target = target.service == "sheets";
+            if is_sheets_target != (entry.kind == Kind::Sheet) {
                 violations.push(Violation::WrongService(id.clone()));
             }
         }
     }
-    let doubled = runs.iter().filter(|(_, count)| **count > 1);
-    violations.extend(doubled.map(|(id, _)| Violation::RanTwice((*id).to_owned())));
+    let repeated = runs.iter().filter(|(_, count)| **count > 1);
+    violations.extend(repeated.map(|(id, _)| Violation::RanTwice((*id).to_owned())));
 }
 
-/// What callers got.
-fn judge_requests(evidence: &Evidence, violations: &mut Vec<Violation>) {
+/// Checks the outcome that clients saw for each request.
+fn check_outcomes(evidence: &Evidence, violations: &mut Vec<Violation>) {
     let targets: HashMap<&str, &TargetHistory> =
         evidence.targets.iter().map(|target| (target.name.as_str(), target)).collect();
     for entry in &evidence.entries {
         let id = entry.id.clone();
         match &entry.outcome {
             Outcome::Answered(name) => {
-                let ran = targets.get(name.as_str()).is_some_and(|known| known.ran.contains(&id));
+                let ran = targets
+                    .get(name.as_str())
+                    .is_some_and(|history| history.executed_requests.contains(&id));
                 if !ran {
                     violations.push(Violation::AnswerWithoutRun(id));
                 }
                 continue;
             }
-            Outcome::Reset if holds_still(entry, &targets) => {
+            Outcome::Reset if is_holder_alive(entry, &targets) => {
                 violations.push(Violation::ResetHeldFlow(id.clone()));
             }
             Outcome::Reset | Outcome::TimedOut | Outcome::NeverOpened => {}
         }
         let is_refused = entry.outcome == Outcome::NeverOpened;
-        let may_be_refused = is_refused && is_excused(entry, &evidence.crowded);
-        if !may_be_refused && !is_excused(entry, &evidence.excused) {
+        let may_be_refused = is_refused && overlaps_any(entry, &evidence.refusals_allowed);
+        if !may_be_refused && !overlaps_any(entry, &evidence.failures_allowed) {
             violations.push(Violation::Failed(id, entry.outcome.clone()));
         }
     }
 }
 
-/// Whether the target that held a flow did so to the end.
-fn holds_still(entry: &Entry, targets: &HashMap<&str, &TargetHistory>) -> bool {
+/// Whether the target that held the request's flow is known and has not crashed since the
+/// flow was opened.
+fn is_holder_alive(entry: &RequestRecord, targets: &HashMap<&str, &TargetHistory>) -> bool {
     let holder = entry.holder.as_deref().and_then(|name| targets.get(name));
     holder.is_some_and(|target| !target.crashed_at.iter().any(|at| *at >= entry.opened_at))
 }
 
-fn is_excused(entry: &Entry, excused: &[Span]) -> bool {
-    excused.iter().any(|span| entry.began_at <= span.to && entry.ended_at >= span.from)
+/// Whether the request overlaps one of the spans.
+fn overlaps_any(entry: &RequestRecord, spans: &[Span]) -> bool {
+    spans.iter().any(|span| entry.started_at <= span.to && entry.finished_at >= span.from)
 }
 
-fn judge_drains(evidence: &Evidence, violations: &mut Vec<Violation>) {
+/// Checks that draining targets got no new flows after the bound on drains.
+fn check_drains(evidence: &Evidence, violations: &mut Vec<Violation>) {
     for drain in &evidence.drains {
         let Some(target) = evidence.targets.get(drain.target) else { continue };
         let is_late = |at: &&Instant| **at >= drain.span.from && **at <= drain.span.to;
-        if target.taken_at.iter().any(|at| is_late(&at)) {
+        if target.accepted_at.iter().any(|at| is_late(&at)) {
             violations.push(Violation::LateAtDrainingTarget(target.name.clone()));
         }
     }
 }
 
-/// A span around an unplanned episode in which requests may fail: flows take some
-/// time to be found again.
-pub fn excuse(from: Instant, mended_at: Instant) -> Span {
-    /// Time after which everything is served again.
+/// Returns the span in which requests may fail because of disruptive faults. It extends past
+/// the end of the faults because the search for the holders of flows takes time.
+pub fn disrupted_span(from: Instant, cleared_at: Instant) -> Span {
+    /// Time after the end of the faults until all requests must succeed again.
     const RECOVERY: Duration = Duration::from_secs(4);
-    Span { from, to: mended_at + RECOVERY }
+    Span { from, to: cleared_at + RECOVERY }
 }
