--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,23 +1,24 @@
-//! The agent: stands beside one back end, holds its flows, and decides with
-//! the service's other agents which of them admits a new flow.
+//! The agent of one target: it runs on the machine of the target's back end, terminates the flows
+//! that the target holds, and decides together with the service's other agents which of them admits
+//! a new flow.
 //!
-//! [`dispatch`] decides what to do with each message and does no I/O; the flow
-//! modules run one task per flow; [`run`] owns the socket and wires them up.
+//! [`dispatch`] decides what to do with each message and does no I/O. The flow modules run one task
+//! per flow. [`run`] owns the socket and connects the two.
 
 mod back_end;
-mod carry_out;
 pub mod dispatch;
+mod execute;
 mod fabric;
 mod flow_log;
 mod flows;
 mod load;
 mod metrics;
-pub mod plant;
+pub mod planted_defect;
 mod run;
 mod tcp_flow;
 mod timestamps;
 mod udp_flow;
 pub mod view;
 
-pub use plant::Plant;
+pub use planted_defect::PlantedDefect;
 pub use run::run;
