--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -13,7 +13,7 @@
 use weirhinge_rehearsal::scenario::Scenario;
 use weirhinge_rehearsal::simulate::{Policy, PolicyResult, Simulation, simulate};
 use weirhinge_rehearsal::simulate_changes::{ChangeResult, Scheme, simulate_changes};
-use weirhinge_soak::run::Faults;
+use weirhinge_soak::run::FaultPattern;
 
 const HELP: &str = "\
 rehearse: try the load balancer under a load and a schedule of faults
@@ -199,9 +199,9 @@
     }
     let (in_series, in_crowds) = (arguments.contains("--series"), arguments.contains("--crowds"));
     let faults = match (in_series, in_crowds) {
-        (false, false) => Faults::Together,
-        (true, false) => Faults::Series,
-        (false, true) => Faults::Crowds,
+        (false, false) => FaultPattern::Together,
+        (true, false) => FaultPattern::Series,
+        (false, true) => FaultPattern::Crowds,
         (true, true) => return Err("--series and --crowds: expected one of them".to_owned()),
     };
     let options = weirhinge_soak::run::Options { seed, episodes, scale, faults, verbose: true };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -55,14 +55,14 @@
     /// targets; 1 to [`LARGEST_SCALE`].
     pub scale: u8,
     /// How faults are combined.
-    pub faults: Faults,
+    pub faults: FaultPattern,
     /// Whether to print each episode as it begins.
     pub verbose: bool,
 }
 
 /// How the faults of an episode are combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Faults {
+pub enum FaultPattern {
     /// One or two faults that begin and end together.
     Together,
     /// Series of overlapping faults, including restores of the store and restarts of targets.
@@ -134,7 +134,7 @@
         seen_versions: vec![0; size.balancers],
         configuration_violations: Vec::new(),
     };
-    if options.faults == Faults::Crowds {
+    if options.faults == FaultPattern::Crowds {
         soak.prepare_crowds().await?;
     }
     soak.change_configuration(true).await;
@@ -142,9 +142,9 @@
     soak.client_tasks.start(&soak.fleet.client, &soak.request_log);
     let started = Instant::now();
     let generate = match options.faults {
-        Faults::Together => generate_episodes,
-        Faults::Series => generate_series,
-        Faults::Crowds => generate_crowds,
+        FaultPattern::Together => generate_episodes,
+        FaultPattern::Series => generate_series,
+        FaultPattern::Crowds => generate_crowds,
     };
     let episodes = generate(options.seed, options.episodes, size);
     for (number, episode) in episodes.iter().enumerate() {
--- a/crates/weirhinge/tests/soak.rs
+++ b/crates/weirhinge/tests/soak.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use weirhinge_soak::run::{Faults, Options, soak};
+use weirhinge_soak::run::{FaultPattern, Options, soak};
 use weirhinge_soak::verdict::Violation;
 
 /// Its first episode drains a target and pauses a balancer, its second kills all.
@@ -24,7 +24,7 @@
 /// Its two crowds meet slow targets.
 const CROWD_SEED: u64 = 9;
 
-fn options(seed: u64, faults: Faults) -> Options {
+fn options(seed: u64, faults: FaultPattern) -> Options {
     Options { seed, episodes: EPISODES, scale: 1, faults, verbose: false }
 }
 
@@ -41,15 +41,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_soak_of_overlapping_faults_breaks_no_promise() -> eyre::Result<()> {
-    breaks_nothing(options(SERIES_SEED, Faults::Series)).await
+    breaks_nothing(options(SERIES_SEED, FaultPattern::Series)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_soak_runs_nothing_twice_and_breaks_no_held_flow() -> eyre::Result<()> {
-    breaks_nothing(options(SEED, Faults::Together)).await
+    breaks_nothing(options(SEED, FaultPattern::Together)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_soak_of_crowds_breaks_no_promise() -> eyre::Result<()> {
-    breaks_nothing(options(CROWD_SEED, Faults::Crowds)).await
+    breaks_nothing(options(CROWD_SEED, FaultPattern::Crowds)).await
 }
