--- a/crates/soak/src/client_tasks.rs
+++ b/crates/soak/src/client_tasks.rs
@@ -17,6 +17,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause of a client between two requests.
 const REQUEST_PAUSE: Duration = Duration::from_millis(120);
+/// Clients of each kind that run during the whole soak.
 const FEED_CLIENTS: usize = 24;
 const UNSAFE_CLIENTS: usize = 4;
 const SHEET_CLIENTS: usize = 2;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -18,6 +18,7 @@
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(400);
 /// HTTP status of an overloaded store.
 const OVERLOADED_STATUS: u16 = 503;
+/// Impairment of clients' packets by [`Fault::LossyClients`].
 const LOSSY_IMPAIRMENT: Impairment =
     Impairment { loss: 0.05, duplicates: 0.05, jitter: Duration::from_millis(20) };
 
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -40,7 +40,7 @@
     Delayed,
     /// The connection is reset.
     Reset,
-    /// No data passes, and the connection stays open.
+    /// No data passes.
     Silent,
     /// The balancer's requests are lost.
     LosesRequests,
@@ -91,7 +91,8 @@
 }
 
 impl Fault {
-    /// Whether no flow may break because of it: planned operations and harmless faults.
+    /// Whether open flows must not break while it lasts. True for planned operations and for
+    /// faults that do not affect open flows.
     pub fn is_non_disruptive(self) -> bool {
         matches!(
             self,
@@ -162,12 +163,13 @@
 }
 
 impl Episode {
-    /// Whether none of its faults may break a flow.
+    /// Whether requests on open flows must not fail because of it. New flows may be refused if
+    /// [`Self::may_refuse`] returns true.
     pub fn is_harmless(&self) -> bool {
         self.faults.iter().all(|fault| fault.is_non_disruptive())
     }
 
-    /// Whether new flows may be refused for lack of capacity.
+    /// Whether new flows may be refused for lack of capacity while it lasts.
     pub fn may_refuse(&self) -> bool {
         self.faults.iter().any(Fault::may_refuse)
     }
