--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Size of the deployment, in processes of each kind.
+/// Size of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     /// Number of balancers.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -22,7 +22,7 @@
 const TARGETS: [&str; 5] = [SERVICES[0], SERVICES[0], SERVICES[0], SERVICES[1], SERVICES[1]];
 /// Zone of each of these targets. Each service has targets in both zones.
 const TARGET_ZONES: [&str; 5] = [HOME_ZONE, HOME_ZONE, NEAR_ZONE, HOME_ZONE, NEAR_ZONE];
-/// Largest deployment, as a multiple of the smallest: 200 balancers and targets.
+/// Largest deployment, as a multiple of the smallest: 200 processes (balancers and agents).
 pub const LARGEST_SCALE: u8 = 25;
 /// Time between episodes, in which the deployment must recover.
 const SETTLE_TIME: Duration = Duration::from_secs(7);
@@ -56,7 +56,7 @@
     pub scale: u8,
     /// How faults are combined.
     pub faults: FaultPattern,
-    /// Whether to print each episode as it begins.
+    /// Whether to print each episode when it starts.
     pub verbose: bool,
 }
 
