--- a/crates/weirhinge/tests/soak.rs
+++ b/crates/weirhinge/tests/soak.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use weirhinge_soak::run::{Faults, Options, soak};
+use weirhinge_soak::run::{FaultPattern, Options, soak};
 use weirhinge_soak::verdict::Violation;
 
 /// The first episode drains a target and pauses a balancer, the second kills all processes.
@@ -24,7 +24,7 @@
 /// Its two bursts of clients hit slow targets.
 const CROWDS_SEED: u64 = 9;
 
-fn options(seed: u64, faults: Faults) -> Options {
+fn options(seed: u64, faults: FaultPattern) -> Options {
     Options { seed, episodes: EPISODES, scale: 1, faults, verbose: false }
 }
 
@@ -42,15 +42,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_fault_series_has_no_violations() -> eyre::Result<()> {
-    check_soak(options(SERIES_SEED, Faults::Series)).await
+    check_soak(options(SERIES_SEED, FaultPattern::Series)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_concurrent_faults_has_no_violations() -> eyre::Result<()> {
-    check_soak(options(CONCURRENT_SEED, Faults::Together)).await
+    check_soak(options(CONCURRENT_SEED, FaultPattern::Together)).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn soak_with_client_bursts_has_no_violations() -> eyre::Result<()> {
-    check_soak(options(CROWDS_SEED, Faults::Crowds)).await
+    check_soak(options(CROWDS_SEED, FaultPattern::Crowds)).await
 }
