--- a/crates/weirhinge/src/cli/timeline.rs
+++ b/crates/weirhinge/src/cli/timeline.rs
@@ -6,7 +6,7 @@
 use eyre::WrapErr;
 use pico_args::Arguments;
 use weirhinge_observe::{
-    CallerLoad, IdleDaemon, Interval, OpeningCounts, RouteCallers, StartWave, Timeline,
+    ClientLoad, IdleDaemon, Interval, OpeningCounts, RouteClients, StartWave, Timeline,
     TimelineOptions, TimelineReport, ZoneLoad,
 };
 
@@ -128,7 +128,7 @@
     )
 }
 
-fn format_clients(route: &RouteCallers) -> String {
+fn format_clients(route: &RouteClients) -> String {
     format!(
         "callers: route {}: {}, {} refused at least once, {} never served; most openings {}; \
          most refused {}\n",
@@ -141,7 +141,7 @@
     )
 }
 
-fn format_client(load: &CallerLoad) -> String {
+fn format_client(load: &ClientLoad) -> String {
     format!("{} ({})", load.caller, format_counts(&load.openings))
 }
 
