--- a/crates/control/src/frame_auth.rs
+++ b/crates/control/src/frame_auth.rs
@@ -33,13 +33,13 @@
 /// Verifies the tag and returns the frame's bytes. Accepts a tag made with any of the
 /// keys, so that keys can be rotated. Without keys any tag is accepted.
 pub(crate) fn verify<'a>(keys: &ControlKeys, signed: &'a [u8]) -> Result<&'a [u8], FrameAuthError> {
-    let (tag, frame) = signed.split_at_checked(TAG_BYTES).ok_or(FrameAuthError::WrongKey)?;
+    let (found, frame) = signed.split_at_checked(TAG_BYTES).ok_or(FrameAuthError::WrongKey)?;
     // Hashes are compared in constant time.
-    let matches = |key: &[u8; 32]| {
-        let tag = <[u8; TAG_BYTES]>::try_from(tag).map(blake3::Hash::from);
-        tag.is_ok_and(|tag| tag == blake3::keyed_hash(key, frame))
+    let is_ours = |key: &[u8; 32]| {
+        let found = <[u8; TAG_BYTES]>::try_from(found).map(blake3::Hash::from);
+        found.is_ok_and(|found| found == blake3::keyed_hash(key, frame))
     };
-    if keys.0.is_empty() || keys.0.iter().any(matches) {
+    if keys.0.is_empty() || keys.0.iter().any(is_ours) {
         return Ok(frame);
     }
     Err(FrameAuthError::WrongKey)
@@ -50,12 +50,12 @@
 /// order, so a frame whose number is not higher is a replay or was overtaken.
 #[derive(Debug, Default)]
 pub(crate) struct ReplayGuard {
-    highest_numbers: HashMap<u64, u64>,
+    highest: HashMap<u64, u64>,
 }
 
 impl ReplayGuard {
     pub(crate) fn check(&mut self, sender: u64, number: u64) -> Result<(), FrameAuthError> {
-        let highest = self.highest_numbers.entry(sender).or_insert(0);
+        let highest = self.highest.entry(sender).or_insert(0);
         if number <= *highest {
             return Err(FrameAuthError::Replayed);
         }
