--- a/crates/relay/src/daemon_context.rs
+++ b/crates/relay/src/daemon_context.rs
@@ -46,11 +46,7 @@
         let mut metrics = Metrics::new();
         let role_metrics = declare(&mut metrics);
         let fleet_metrics = FleetMetrics::declare(&mut metrics);
-        metrics.register_counter(
-            "log_lines_lost",
-            "Log lines dropped because the output was not read fast enough",
-            process_log.lost,
-        );
+        metrics.register_counter("log_lines_lost", "Log lines without room", process_log.lost);
         let node = Rc::new(RefCell::new(FleetNode::new(settings, role, log.clone())));
         let link =
             PeerLink::start(settings, Rc::clone(&node), clock, fleet_metrics, log.clone()).await?;
