--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -242,7 +242,7 @@
         for machine in CROWD_MACHINES {
             self.crowd_machines.push(self.fleet.add_client(machine).await?);
         }
-        self.fleet.latency_objective_ms = Some(LATENCY_OBJECTIVE_MS);
+        self.fleet.objective_ms = Some(LATENCY_OBJECTIVE_MS);
         Ok(())
     }
 
